--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -8,7 +8,7 @@
 mkdir -p "$state"
 GW_CONFIG=deploy/training.json GW_STATE=$state GW_NAME=training GW_LISTEN=127.0.0.1:47979 \
     GW_DISCOVERY=127.0.0.1:47979 java @deploy/java.options -Xlog:disable -XX:ArchiveClassesAtExit=target/sender.jsa \
-    -jar target/kestreldeal.jar serve >"$state/log" 2>&1 &
+    -jar target/starlingvalve.jar serve >"$state/log" 2>&1 &
 sender=$!
 tries=0
 until grep -q "listens at\|can't start" "$state/log" || [ $tries -ge 100 ]; do
--- a/src/main/java/kestreldeal/BadInput.java
+++ b/src/main/java/starlingvalve/BadInput.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 /** Input that can't be read, in plain words. */
 public final class BadInput extends Exception {
--- a/src/main/java/kestreldeal/Drill.java
+++ b/src/main/java/starlingvalve/Drill.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/kestreldeal/Faults.java
+++ b/src/main/java/starlingvalve/Faults.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import java.util.Optional;
 
--- a/src/main/java/kestreldeal/KeyOrder.java
+++ b/src/main/java/starlingvalve/KeyOrder.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.DoubleSupplier;
 import java.util.stream.Collectors;
-import kestreldeal.Relay.Outcome;
+import starlingvalve.Relay.Outcome;
 
 /**
  * The order of messages that share a key: one at a time, as they were taken. A key rests after an end that leaves open
--- a/src/main/java/kestreldeal/LatencyEstimate.java
+++ b/src/main/java/starlingvalve/LatencyEstimate.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 /** The usual answer time of an endpoint: a running mean with its mean deviation, in milliseconds. */
 final class LatencyEstimate {
--- a/src/main/java/kestreldeal/Main.java
+++ b/src/main/java/starlingvalve/Main.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import java.io.BufferedOutputStream;
 import java.io.FileDescriptor;
@@ -7,7 +7,7 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import kestreldeal.net.Sender;
+import starlingvalve.net.Sender;
 
 /**
  * The command line: {@code serve} runs a real sender, {@code drill} speaks the simulator's wire on standard
@@ -20,7 +20,7 @@
     /** Runs the command named by the first argument; usage goes to standard error, exit code 2. */
     public static void main(String[] args) {
         if (args.length != 1 || !List.of("drill", "serve").contains(args[0])) {
-            System.err.println("usage: java -jar kestreldeal.jar drill | serve");
+            System.err.println("usage: java -jar starlingvalve.jar drill | serve");
             System.err.println("  drill   speak the simulator's wire on standard input and output");
             System.err.println("  serve   run a sender on real sockets, as its environment configures it");
             System.exit(2);
--- a/src/main/java/kestreldeal/Params.java
+++ b/src/main/java/starlingvalve/Params.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/kestreldeal/net/AcceptRetry.java
+++ b/src/main/java/starlingvalve/net/AcceptRetry.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/src/main/java/kestreldeal/net/Agent.java
+++ b/src/main/java/starlingvalve/net/Agent.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
--- a/src/main/java/kestreldeal/net/AttemptOutcomes.java
+++ b/src/main/java/starlingvalve/net/AttemptOutcomes.java
@@ -1,6 +1,6 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
-import kestreldeal.Relay.Outcome;
+import starlingvalve.Relay.Outcome;
 
 /**
  * The outcome of an attempt, by the protocol's table; the only place that decides whether an attempt may have run.
--- a/src/main/java/kestreldeal/net/AttemptReport.java
+++ b/src/main/java/starlingvalve/net/AttemptReport.java
@@ -1,7 +1,7 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.Optional;
-import kestreldeal.net.AttemptOutcomes.Interruption;
+import starlingvalve.net.AttemptOutcomes.Interruption;
 
 /**
  * Why an attempt ended as it did, for the log.
--- a/src/main/java/kestreldeal/net/ClientAdmission.java
+++ b/src/main/java/starlingvalve/net/ClientAdmission.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.Channel;
 import java.util.concurrent.atomic.AtomicInteger;
--- a/src/main/java/kestreldeal/net/Config.java
+++ b/src/main/java/starlingvalve/net/Config.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.json.JsonMapper;
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import kestreldeal.BadInput;
-import kestreldeal.Params;
-import kestreldeal.Relay;
+import starlingvalve.BadInput;
+import starlingvalve.Params;
+import starlingvalve.Relay;
 
 /**
  * What a sender is told at its start, by its environment and its JSON configuration; the environment comes
--- a/src/main/java/kestreldeal/net/ConfigReload.java
+++ b/src/main/java/starlingvalve/net/ConfigReload.java
@@ -1,11 +1,11 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.FileSystemException;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.BadInput;
+import starlingvalve.BadInput;
 
 /** Reads a configuration that was replaced while the sender runs. */
 final class ConfigReload {
--- a/src/main/java/kestreldeal/net/Connects.java
+++ b/src/main/java/starlingvalve/net/Connects.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
--- a/src/main/java/kestreldeal/net/DeadlineWatchdog.java
+++ b/src/main/java/starlingvalve/net/DeadlineWatchdog.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.util.concurrent.EventExecutor;
 import java.util.ArrayList;
--- a/src/main/java/kestreldeal/net/EndpointList.java
+++ b/src/main/java/starlingvalve/net/EndpointList.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import kestreldeal.BadInput;
+import starlingvalve.BadInput;
 
 /**
  * The list of endpoints as this sender holds it, with its version. Several requests for it may be out at once, and
--- a/src/main/java/kestreldeal/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -41,8 +41,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import kestreldeal.Relay.Outcome;
-import kestreldeal.net.AttemptOutcomes.Interruption;
+import starlingvalve.Relay.Outcome;
+import starlingvalve.net.AttemptOutcomes.Interruption;
 
 /**
  * Calls to endpoints and the connections that they go over: one exchange each, kept for the next, the newest
--- a/src/main/java/kestreldeal/net/EventLog.java
+++ b/src/main/java/starlingvalve/net/EventLog.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
--- a/src/main/java/kestreldeal/net/FinishedMessage.java
+++ b/src/main/java/starlingvalve/net/FinishedMessage.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 /**
  * How a message that was taken on has ended. It is kept for as long as its id may come again: a client whose connection
--- a/src/main/java/kestreldeal/net/FinishedMessages.java
+++ b/src/main/java/starlingvalve/net/FinishedMessages.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/kestreldeal/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/kestreldeal/net/Intake.java
+++ b/src/main/java/starlingvalve/net/Intake.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -40,7 +40,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import kestreldeal.BadInput;
+import starlingvalve.BadInput;
 
 /**
  * The client side: checks what is handed in, and answers it. A message is journalled before its 202 is
--- a/src/main/java/kestreldeal/net/Link.java
+++ b/src/main/java/starlingvalve/net/Link.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/kestreldeal/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
--- a/src/main/java/kestreldeal/net/ListLeasePolicy.java
+++ b/src/main/java/starlingvalve/net/ListLeasePolicy.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 /**
  * How long the list of endpoints may be relied on without asking discovery again, and when discovery counts as silent.
--- a/src/main/java/kestreldeal/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -1,11 +1,11 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import kestreldeal.Relay;
+import starlingvalve.Relay;
 
 /**
  * The last word on whether a message may be sent or ended, or a client's connection closed, now. It decides by the record
--- a/src/main/java/kestreldeal/net/Notices.java
+++ b/src/main/java/starlingvalve/net/Notices.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
--- a/src/main/java/kestreldeal/net/Ops.java
+++ b/src/main/java/starlingvalve/net/Ops.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -31,9 +31,9 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
-import kestreldeal.BadInput;
-import kestreldeal.Relay;
-import kestreldeal.net.Inherited.Out;
+import starlingvalve.BadInput;
+import starlingvalve.Relay;
+import starlingvalve.net.Inherited.Out;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
--- a/src/main/java/kestreldeal/net/StartRetry.java
+++ b/src/main/java/starlingvalve/net/StartRetry.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.ChannelException;
 import java.io.IOException;
--- a/src/main/java/kestreldeal/net/SteadyClock.java
+++ b/src/main/java/starlingvalve/net/SteadyClock.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 /**
  * The time by which deadlines, windows and waits are kept that must hold in a later process: it runs with the machine's
--- a/src/main/java/kestreldeal/net/SubmissionReader.java
+++ b/src/main/java/starlingvalve/net/SubmissionReader.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.Arrays;
 import java.util.Optional;
-import kestreldeal.BadInput;
+import starlingvalve.BadInput;
 
 /** Reads from a client's request what it hands in. */
 final class SubmissionReader {
--- a/src/main/java/kestreldeal/net/TcpChannel.java
+++ b/src/main/java/starlingvalve/net/TcpChannel.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/kestreldeal/net/TcpListener.java
+++ b/src/main/java/starlingvalve/net/TcpListener.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
--- a/src/main/java/kestreldeal/net/TransientErrors.java
+++ b/src/main/java/starlingvalve/net/TransientErrors.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.io.IOException;
 import java.util.Set;
--- a/src/main/java/kestreldeal/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.buffer.ByteBuf;
@@ -22,7 +22,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import kestreldeal.Relay;
+import starlingvalve.Relay;
 
 /**
  * Runs a sender's code on made-up messages before it serves, in memory and a scratch folder, with no sockets:
--- a/src/main/java/kestreldeal/net/WithdrawnEndpoints.java
+++ b/src/main/java/starlingvalve/net/WithdrawnEndpoints.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.Iterator;
 import java.util.LinkedHashSet;
--- a/src/test/java/kestreldeal/Bench.java
+++ b/src/test/java/starlingvalve/Bench.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,8 +16,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
-import kestreldeal.Relay.Effect;
-import kestreldeal.Relay.Outcome;
+import starlingvalve.Relay.Effect;
+import starlingvalve.Relay.Outcome;
 
 /** A caller of the module for tests: a clock, recorded actions and, where strict, a check of the rules. */
 final class Bench implements Relay.Actions {
--- a/src/test/java/kestreldeal/ColdFleetTest.java
+++ b/src/test/java/starlingvalve/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package kestreldeal;
+package starlingvalve;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,8 +7,8 @@
 import java.util.Random;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /**
  * A whole fleet before one destination that fails for ten seconds and comes back cold. What counts is the sum of all
--- a/src/test/java/kestreldeal/ConfirmedEndTest.java
+++ b/src/test/java/starlingvalve/ConfirmedEndTest.java
@@ -1,12 +1,12 @@
-package kestreldeal;
+package starlingvalve;
 
-import static kestreldeal.MessageClasses.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static starlingvalve.MessageClasses.UNSAFE;
 
 import java.util.List;
 import java.util.Optional;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** A message that an answer calls delivered, until the notice that confirms it is heard. */
 class ConfirmedEndTest {
--- a/src/test/java/kestreldeal/FleetTest.java
+++ b/src/test/java/starlingvalve/FleetTest.java
@@ -1,12 +1,12 @@
-package kestreldeal;
+package starlingvalve;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** Many senders that share nothing but a destination: what counts is their sum. */
 class FleetTest {
--- a/src/test/java/kestreldeal/HandoverMemoryTest.java
+++ b/src/test/java/starlingvalve/HandoverMemoryTest.java
@@ -1,11 +1,11 @@
-package kestreldeal;
+package starlingvalve;
 
-import static kestreldeal.MessageClasses.KEYED;
-import static kestreldeal.MessageClasses.SAFE;
-import static kestreldeal.MessageClasses.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static starlingvalve.MessageClasses.KEYED;
+import static starlingvalve.MessageClasses.SAFE;
+import static starlingvalve.MessageClasses.UNSAFE;
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.datatype.jdk8.Jdk8Module;
@@ -15,8 +15,8 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** Each state in which a message may be handed over: the module of the next process ends it in its time. */
 class HandoverMemoryTest {
--- a/src/test/java/kestreldeal/LogicTest.java
+++ b/src/test/java/starlingvalve/LogicTest.java
@@ -1,21 +1,21 @@
-package kestreldeal;
+package starlingvalve;
 
-import static kestreldeal.MessageClasses.BY_ZONE;
-import static kestreldeal.MessageClasses.KEYED;
-import static kestreldeal.MessageClasses.SAFE;
-import static kestreldeal.MessageClasses.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static starlingvalve.MessageClasses.BY_ZONE;
+import static starlingvalve.MessageClasses.KEYED;
+import static starlingvalve.MessageClasses.SAFE;
+import static starlingvalve.MessageClasses.UNSAFE;
 
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Random;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** The module's behaviour, through its interface: what it costs, waves, rules, misuse and what operators order. */
 class LogicTest {
@@ -402,7 +402,7 @@
 
     @Test
     void theModuleStaysSmall() throws Exception {
-        List<String> lines = Files.readAllLines(Path.of("src/main/java/kestreldeal/Logic.java"));
+        List<String> lines = Files.readAllLines(Path.of("src/main/java/starlingvalve/Logic.java"));
         assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1200, "the operators' limit");
         assertTrue(lines.stream().allMatch(l -> l.length() <= 110));
     }
--- a/src/test/java/kestreldeal/MessageClasses.java
+++ b/src/test/java/starlingvalve/MessageClasses.java
@@ -1,7 +1,7 @@
-package kestreldeal;
+package starlingvalve;
 
 import java.util.List;
-import kestreldeal.Relay.Effect;
+import starlingvalve.Relay.Effect;
 
 /** The message classes of the module's tests, and the numbers of those that tests name. */
 final class MessageClasses {
--- a/src/test/java/kestreldeal/ModuleRestartTest.java
+++ b/src/test/java/starlingvalve/ModuleRestartTest.java
@@ -1,17 +1,17 @@
-package kestreldeal;
+package starlingvalve;
 
-import static kestreldeal.MessageClasses.BY_ZONE;
-import static kestreldeal.MessageClasses.KEYED;
-import static kestreldeal.MessageClasses.SAFE;
-import static kestreldeal.MessageClasses.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static starlingvalve.MessageClasses.BY_ZONE;
+import static starlingvalve.MessageClasses.KEYED;
+import static starlingvalve.MessageClasses.SAFE;
+import static starlingvalve.MessageClasses.UNSAFE;
 
 import java.util.List;
 import java.util.Optional;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** What the module goes on with from an earlier life, or from another process in an upgrade. */
 class ModuleRestartTest {
--- a/src/test/java/kestreldeal/PaceAndHealthTest.java
+++ b/src/test/java/starlingvalve/PaceAndHealthTest.java
@@ -1,15 +1,15 @@
-package kestreldeal;
+package starlingvalve;
 
-import static kestreldeal.MessageClasses.NEVER_LATE;
-import static kestreldeal.MessageClasses.SAFE;
-import static kestreldeal.MessageClasses.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static starlingvalve.MessageClasses.NEVER_LATE;
+import static starlingvalve.MessageClasses.SAFE;
+import static starlingvalve.MessageClasses.UNSAFE;
 
 import java.util.List;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** Paces of limits and the health of endpoints, through the module's interface. */
 class PaceAndHealthTest {
--- a/src/test/java/kestreldeal/net/AnswerBytes.java
+++ b/src/test/java/starlingvalve/net/AnswerBytes.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import kestreldeal.net.AnswerScript.Answer;
-import kestreldeal.net.AnswerScript.Ending;
-import kestreldeal.net.AnswerScript.Framing;
-import kestreldeal.net.AnswerScript.Spelling;
-import kestreldeal.net.AnswerScript.Spoiling;
-import kestreldeal.net.AnswerScript.Spoilt;
+import starlingvalve.net.AnswerScript.Answer;
+import starlingvalve.net.AnswerScript.Ending;
+import starlingvalve.net.AnswerScript.Framing;
+import starlingvalve.net.AnswerScript.Spelling;
+import starlingvalve.net.AnswerScript.Spoiling;
+import starlingvalve.net.AnswerScript.Spoilt;
 
 /** The bytes of a scripted answer, spoilt as its script says. */
 final class AnswerBytes {
--- a/src/test/java/kestreldeal/net/AnswerScript.java
+++ b/src/test/java/starlingvalve/net/AnswerScript.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/test/java/kestreldeal/net/ConfigTest.java
+++ b/src/test/java/starlingvalve/net/ConfigTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,10 +19,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import kestreldeal.BadInput;
-import kestreldeal.Relay;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import starlingvalve.BadInput;
+import starlingvalve.Relay;
 
 /** Configurations that nobody meant: each is taken for what it says, or ends the start with a plain line. */
 class ConfigTest {
--- a/src/test/java/kestreldeal/net/EndpointAnswerPropertyTest.java
+++ b/src/test/java/starlingvalve/net/EndpointAnswerPropertyTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,17 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
-import kestreldeal.net.AnswerScript.Answer;
-import kestreldeal.net.AnswerScript.Ending;
-import kestreldeal.net.AnswerScript.Framing;
-import kestreldeal.net.AnswerScript.Moment;
-import kestreldeal.net.AnswerScript.Spelling;
-import kestreldeal.net.AnswerScript.Spoiling;
-import kestreldeal.net.AnswerScript.Spoilt;
-import kestreldeal.net.AnswerScript.Step;
-import kestreldeal.net.AnswerScript.Stray;
-import kestreldeal.net.AnswerScript.Word;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -33,6 +22,17 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.Tuple;
 import net.jqwik.api.lifecycle.AfterContainer;
+import starlingvalve.Relay.Outcome;
+import starlingvalve.net.AnswerScript.Answer;
+import starlingvalve.net.AnswerScript.Ending;
+import starlingvalve.net.AnswerScript.Framing;
+import starlingvalve.net.AnswerScript.Moment;
+import starlingvalve.net.AnswerScript.Spelling;
+import starlingvalve.net.AnswerScript.Spoiling;
+import starlingvalve.net.AnswerScript.Spoilt;
+import starlingvalve.net.AnswerScript.Step;
+import starlingvalve.net.AnswerScript.Stray;
+import starlingvalve.net.AnswerScript.Word;
 
 /**
  * Whatever bytes an endpoint sends, and whenever: each call gets one end, by the protocol's table, and a message
--- a/src/test/java/kestreldeal/net/EndpointClient.java
+++ b/src/test/java/starlingvalve/net/EndpointClient.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -10,7 +10,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
+import starlingvalve.Relay.Outcome;
 
 /** The calls of a sender to one endpoint, and all that is told of them. */
 final class EndpointClient extends PermissiveEnds {
--- a/src/test/java/kestreldeal/net/EndpointListTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,9 +13,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import kestreldeal.net.EndpointList.Query;
-import kestreldeal.net.EndpointList.Result;
 import org.junit.jupiter.api.Test;
+import starlingvalve.net.EndpointList.Query;
+import starlingvalve.net.EndpointList.Result;
 
 /** The list of endpoints under answers in any order and of any form. */
 class EndpointListTest {
--- a/src/test/java/kestreldeal/net/EndpointListWaitTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListWaitTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -12,10 +12,10 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** A call whose connection has come up while the list of endpoints was not known to be the newest. */
 class EndpointListWaitTest {
--- a/src/test/java/kestreldeal/net/EndpointUnflushedCallTest.java
+++ b/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,9 +17,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** A call whose time is up while the exchange that it shares is only partly in the socket. */
 class EndpointUnflushedCallTest {
--- a/src/test/java/kestreldeal/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -27,10 +27,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** Each row of the protocol's table of outcomes, and the connections that calls go over. */
 class EndpointsTest {
--- a/src/test/java/kestreldeal/net/FailingCallsProcessTest.java
+++ b/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.net.SystemFaults.Call;
-import kestreldeal.net.SystemFaults.Errno;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import starlingvalve.net.SystemFaults.Call;
+import starlingvalve.net.SystemFaults.Errno;
 
 /** A message that was handed in gets its answer and its end though system calls of the sender fail for a moment. */
 class FailingCallsProcessTest extends SenderProcessFixture {
--- a/src/test/java/kestreldeal/net/FaultSoakTest.java
+++ b/src/test/java/starlingvalve/net/FaultSoakTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 import java.util.stream.LongStream;
-import kestreldeal.net.MessageRecord.Kind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
+import starlingvalve.net.MessageRecord.Kind;
 
 /**
  * The program as a process of its own under faults that are drawn from a seed: endpoints that answer late, in part, not
--- a/src/test/java/kestreldeal/net/FaultyDestination.java
+++ b/src/test/java/starlingvalve/net/FaultyDestination.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/kestreldeal/net/MessageEndTest.java
+++ b/src/test/java/starlingvalve/net/MessageEndTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -21,10 +21,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /** An answer that tells the end of a message binds whatever else is known or under way: nothing goes out for it then. */
 class MessageEndTest {
--- a/src/test/java/kestreldeal/net/MessageRecordTest.java
+++ b/src/test/java/starlingvalve/net/MessageRecordTest.java
@@ -1,10 +1,10 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import kestreldeal.net.MessageRecord.Kind;
 import org.junit.jupiter.api.Test;
+import starlingvalve.net.MessageRecord.Kind;
 
 /** The judge of the soak: records that break each rule, and records that only look like it. */
 class MessageRecordTest {
--- a/src/test/java/kestreldeal/net/MessageRulesTest.java
+++ b/src/test/java/starlingvalve/net/MessageRulesTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 
 import java.util.Map;
 import java.util.Optional;
-import kestreldeal.Relay.Effect;
-import kestreldeal.net.MessageRules.Repeats;
-import kestreldeal.net.MessageRules.Violation;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Effect;
+import starlingvalve.net.MessageRules.Repeats;
+import starlingvalve.net.MessageRules.Violation;
 
 /** For each rule a message that breaks it, and one that only looks like it. */
 class MessageRulesTest {
--- a/src/test/java/kestreldeal/net/OpsTest.java
+++ b/src/test/java/starlingvalve/net/OpsTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/kestreldeal/net/PermissiveEnds.java
+++ b/src/test/java/starlingvalve/net/PermissiveEnds.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 /** Lets every call go out, and passes over what a test does not look at. */
 abstract class PermissiveEnds implements Endpoints.Ends {
--- a/src/test/java/kestreldeal/net/RecordingDesk.java
+++ b/src/test/java/starlingvalve/net/RecordingDesk.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,8 +16,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import kestreldeal.Relay;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay;
 
 /** What a sender goes on with after its process was killed or told to end. */
 class RestartTest extends SenderFixture {
--- a/src/test/java/kestreldeal/net/ScriptedEndpoint.java
+++ b/src/test/java/starlingvalve/net/ScriptedEndpoint.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import kestreldeal.net.AnswerScript.Ending;
-import kestreldeal.net.AnswerScript.Spoiling;
-import kestreldeal.net.AnswerScript.Step;
+import starlingvalve.net.AnswerScript.Ending;
+import starlingvalve.net.AnswerScript.Spoiling;
+import starlingvalve.net.AnswerScript.Step;
 
 /**
  * An endpoint that plays one step of a script at a time and keeps account of what it ran. It ran no message that
--- a/src/test/java/kestreldeal/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,10 +23,10 @@
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import kestreldeal.Relay;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
+import starlingvalve.Relay;
 
 /**
  * A whole sender over loopback sockets, for tests: clients, two endpoints of one destination, the agent, and the
--- a/src/test/java/kestreldeal/net/SenderProcess.java
+++ b/src/test/java/starlingvalve/net/SenderProcess.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -75,7 +75,7 @@
             command.addAll(List.of("bash", "-c", "ulimit -n " + descriptorLimit + "; exec \"$@\"", "bash"));
         }
         command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-cp", System.getProperty("java.class.path"), "kestreldeal.Main", "serve"));
+                "-cp", System.getProperty("java.class.path"), "starlingvalve.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(environment);
         process = builder.redirectErrorStream(true).redirectOutput(logFile().toFile()).start();
--- a/src/test/java/kestreldeal/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,8 +20,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import kestreldeal.Relay;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay;
 
 /** The end of a sender's process, by signal, and signals while it starts. */
 class ShutdownTest extends SenderFixture {
@@ -304,7 +304,7 @@
     private Process process(String... through) throws Exception {
         List<String> command = new ArrayList<>(List.of(through));
         command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString(),
-                "-cp", System.getProperty("java.class.path"), "kestreldeal.Main", "serve"));
+                "-cp", System.getProperty("java.class.path"), "starlingvalve.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().putAll(Map.of("GW_CONFIG", folder.resolve("config.json").toString(),
                 "GW_STATE", folder.resolve("state").toString()));
--- a/src/test/java/kestreldeal/net/SoakMessage.java
+++ b/src/test/java/starlingvalve/net/SoakMessage.java
@@ -1,9 +1,9 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongBinaryOperator;
-import kestreldeal.net.MessageRecord.Kind;
+import starlingvalve.net.MessageRecord.Kind;
 
 /** What was seen of one message of a soak, judged by all rules that concern a message alone. */
 final class SoakMessage {
--- a/src/test/java/kestreldeal/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.BooleanSupplier;
-import kestreldeal.net.SystemFaults.Call;
-import kestreldeal.net.SystemFaults.Errno;
+import starlingvalve.net.SystemFaults.Call;
+import starlingvalve.net.SystemFaults.Errno;
 
 /** One sender of a soak over all its processes, with its agent, its clients and the faults of its machine. */
 final class SoakNode implements AutoCloseable {
--- a/src/test/java/kestreldeal/net/Stub.java
+++ b/src/test/java/starlingvalve/net/Stub.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/kestreldeal/net/SurplusAnswerTest.java
+++ b/src/test/java/starlingvalve/net/SurplusAnswerTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,10 +15,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
-import kestreldeal.net.EndpointClient.End;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
+import starlingvalve.net.EndpointClient.End;
 
 /** Good answers that bring more than belongs to them: they count, and what came with them answers nothing else. */
 class SurplusAnswerTest {
--- a/src/test/java/kestreldeal/net/ToldWaitOrderTest.java
+++ b/src/test/java/starlingvalve/net/ToldWaitOrderTest.java
@@ -1,4 +1,4 @@
-package kestreldeal.net;
+package starlingvalve.net;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -18,10 +18,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import starlingvalve.Relay.Outcome;
 
 /**
  * An answer that tells a wait arrives while another call is about to go out. What has arrived before a call is
