--- a/src/test/java/starlingvalve/net/SenderTest.java
+++ b/src/test/java/starlingvalve/net/SenderTest.java
@@ -21,7 +21,7 @@
         for (String list : List.of("SERVING DRAINING", "SERVING SERVING", "DELETED SERVING", "SERVING SERVING")) {
             states = list;
             String generation = generation();
-            Stub.await("the list is read", () -> agent.requests.stream()
+            StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
             handIn("m" + list.hashCode() + calls().size(), "order");
             if (list.endsWith("SERVING")) {
@@ -35,7 +35,7 @@
         killAndStart();
         String generation = generation();
         long before = agent.requests.size();
-        Stub.await("the list is read", () -> agent.requests.stream().skip(before)
+        StubServer.await("the list is read", () -> agent.requests.stream().skip(before)
                 .anyMatch(r -> r.line().contains("after=" + generation)));
         handIn("after", "order");
         assertEquals(List.of(), endpoints.get(0).requests, "a later life keeps it out");
@@ -49,13 +49,13 @@
     void aThousandEndpointsAndSendersAreReadStoredAndServedAfterAKill() throws Exception {
         others = 1022;
         fleet = 1024;
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         String last = message("last", "order", "hello").replace("dest=7", "dest=1023");
         assertEquals("HTTP/1.1 202 Accepted", ask(client(), last).line());
-        Stub.await("it is out", () -> calls().size() == 1);
+        StubServer.await("it is out", () -> calls().size() == 1);
         assertEquals("200 ok\n", operator("POST", "/endpoints/s-1022/maint"));
-        script(Stub.status(200, ""));
+        script(StubServer.status(200, ""));
         killAndStart();
         awaitNothingHeld();
         assertEquals(1024, figure("endpoints_known"));
@@ -70,14 +70,14 @@
         assertEquals(0, figure("failed.once"));
         handIn("one", "order");
         awaitNothingHeld();
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         handIn("two", "once");
         awaitNotice("dead");
         String stray = message("stray", "order", "hello").replace("dest=7", "dest=8");
         assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), stray).line());
-        script(Stub.silent());
+        script(StubServer.silent());
         handIn("three", "order");
-        Stub.await("it is out", () -> calls().size() == 3);
+        StubServer.await("it is out", () -> calls().size() == 3);
         assertEquals(List.of(1, 0, 1, 0, 0, 1, 3, 1), List.of(figure("served.order"), figure("served.once"),
                 figure("refused.order"), figure("refused.once"), figure("failed.order"), figure("failed.once"),
                 figure("attempts"), figure("in_flight")));
@@ -93,7 +93,7 @@
         assertEquals("200 ok\n", operator("POST", "/healthcheck/fail"));
         assertEquals("503", health());
         assertEquals("200 ok\n", operator("GET", "/healthcheck"), "the process itself is well");
-        Stub.Message last = ask(kept, message("three", "order", "hello"));
+        StubServer.Message last = ask(kept, message("three", "order", "hello"));
         assertEquals("HTTP/1.1 202 Accepted", last.line());
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
@@ -102,7 +102,7 @@
         assertEquals("503", health(), "a later life keeps clients away");
         assertEquals("200 ok\n", operator("POST", "/healthcheck/ok"));
         assertEquals("200", health());
-        Stub.Message taken = ask(client(), message("four", "order", "hello"));
+        StubServer.Message taken = ask(client(), message("four", "order", "hello"));
         assertEquals("HTTP/1.1 202 Accepted", taken.line());
         assertEquals(null, taken.header("Connection"));
     }
@@ -127,7 +127,7 @@
 
     @Test
     void aMessageThatIsOverIsOwedNothing() throws Exception {
-        script(Stub.status(410, ""));
+        script(StubServer.status(410, ""));
         start();
         handIn("one", "order");
         awaitNothingHeld();
@@ -136,7 +136,7 @@
 
     @Test
     void aMessageThatMayNotBeRepeatedEndsByANotice() throws Exception {
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         start();
         handIn("one", "once");
         awaitNotice("{\"ref\":\"one\",\"result\":\"dead\"}");
@@ -145,11 +145,11 @@
 
     @Test
     void aNoticeIsRepeatedUntilItIsHeard() throws Exception {
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         reportStatus = 500;
         start();
         handIn("one", "once");
-        Stub.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
+        StubServer.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
         assertEquals(1, journalled().size());
         reportStatus = 204;
@@ -158,17 +158,17 @@
 
     @Test
     void messagesOfOneThreadGoOneAtATimeWhateverTheirIdempotencyKeys() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         for (String id : List.of("one", "two", "three")) {
             String thread = "?thread=" + (id.equals("three") ? "other" : "same");
             assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, "once", thread, "hello")).line());
         }
-        Stub.await("the first of each thread", () -> calls().size() == 2);
+        StubServer.await("the first of each thread", () -> calls().size() == 2);
         assertEquals(Set.of("one", "three"), calls().stream().map(c -> c.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
-        script(Stub.status(200, ""));
-        for (Stub endpoint : endpoints) {
+        script(StubServer.status(200, ""));
+        for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         awaitNothingHeld();
@@ -178,14 +178,14 @@
     @Test
     void aToldWaitIsKept() throws Exception {
         start();
-        script(Stub.status(429, "Retry-After: 0.6\r\n"));
+        script(StubServer.status(429, "Retry-After: 0.6\r\n"));
         handIn("one", "order");
-        Stub.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
-        script(Stub.status(200, ""));
+        StubServer.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        script(StubServer.status(200, ""));
         handIn("two", "order");
-        Stub.await("both delivered", () -> calls().size() == 3);
-        long first = calls().stream().mapToLong(Stub.Message::atNanos).min().orElseThrow();
-        for (Stub.Message later : calls()) {
+        StubServer.await("both delivered", () -> calls().size() == 3);
+        long first = calls().stream().mapToLong(StubServer.Message::atNanos).min().orElseThrow();
+        for (StubServer.Message later : calls()) {
             assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent while waiting");
         }
     }
@@ -196,7 +196,7 @@
         for (int round = 0; round < 2; round++) {
             states = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
             String generation = generation();
-            Stub.await("the list is read", () -> agent.requests.stream()
+            StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
             int before = endpoints.get(round).requests.size();
             for (int i = 0; i < 4; i++) {
@@ -216,13 +216,13 @@
         handIn("one", "order");
         awaitNothingHeld();
         agentUp = true;
-        Stub.await("the list is asked for again", () -> agent.requests.stream()
+        StubServer.await("the list is asked for again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
     }
 
     @Test
     void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        Held old = earlierLife("order", 1000, 20_000, false);
+        AcceptedMessage old = earlierLife("order", 1000, 20_000, false);
         known = false;
         agentUp = false;
         start();
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -21,20 +21,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
-import starlingvalve.Relay;
+import starlingvalve.DeliveryPolicy;
 
 /** The end of a sender's process, by signal, and signals while it starts. */
 class ShutdownTest extends SenderFixture {
     @Test
     void aDrainTakesThenClosesAndLetsCallsOutFinish() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         Socket kept = client();
         assertEquals("202", ask(kept, message("one", "once", "hello")).line().split(" ")[1]);
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
-        Stub.await("no new connection is taken", () -> {
+        StubServer.await("no new connection is taken", () -> {
             try {
                 client().close();
                 return false;
@@ -42,13 +42,13 @@
                 return true;
             }
         });
-        Stub.Message last = ask(kept, message("two", "order", "hello"));
+        StubServer.Message last = ask(kept, message("two", "order", "hello"));
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
         assertTrue(drain.isAlive(), "calls out are waited for");
-        Stub.await("both calls", () -> calls().size() == 2);
-        for (Stub endpoint : endpoints) {
+        StubServer.await("both calls", () -> calls().size() == 2);
+        for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
@@ -57,10 +57,10 @@
 
     @Test
     void aDrainEndsInTimeAndTheJournalHoldsTheRest() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         sender.drain();
         assertEquals("one", journalled().get(0).id);
         assertEquals(1, journalled().get(0).attempts.size());
@@ -101,7 +101,7 @@
 
     private static void awaitState(Thread thread, Thread.State state) {
         try {
-            Stub.await("the thread is " + state, () -> thread.getState() == state);
+            StubServer.await("the thread is " + state, () -> thread.getState() == state);
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
@@ -124,9 +124,9 @@
         awaitLatch(busy);
         // The loop stands in the drain: this connection and its request can only lie in the queue.
         Socket late = client();
-        Stub.write(late, message("late", "plain", "hello"));
+        StubServer.write(late, message("late", "plain", "hello"));
         go.countDown();
-        Stub.Message answer = Stub.read(new BufferedInputStream(late.getInputStream()), 0);
+        StubServer.Message answer = StubServer.read(new BufferedInputStream(late.getInputStream()), 0);
         assertEquals("HTTP/1.1 202 Accepted", answer.line());
         drain.join();
         assertEquals(1, calls().size() + journalled().size(), "delivered, or left to the next life");
@@ -136,11 +136,11 @@
     @Test
     void anAnswerThatHasComeGoesBeforeTheEndOfTheClosingTime() throws Exception {
         long closingMs = 4000;
-        script(Stub.silent());
+        script(StubServer.silent());
         start(closingMs);
         Socket kept = client();
         assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("one", "once", "hello")).line());
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         AtomicLong begun = new AtomicLong();
         CompletableFuture<Boolean> endedBefore = new CompletableFuture<>();
@@ -154,13 +154,13 @@
                 while (System.nanoTime() - begun.get() < (closingMs + 100) * 1_000_000) {
                     Thread.onSpinWait();
                 }
-            } else if (event.equals("attemptEnded") && arguments[1] instanceof Relay.AttemptEnd end
-                    && end.message() == 0 && end.outcome() == Relay.Outcome.DELIVERED) {
+            } else if (event.equals("attemptEnded") && arguments[1] instanceof DeliveryPolicy.AttemptEnd end
+                    && end.message() == 0 && end.outcome() == DeliveryPolicy.Outcome.DELIVERED) {
                 endedBefore.complete(!join(drain));
             }
         };
         drain.start();
-        Stub.await("it closes", () -> begun.get() > 0);
+        StubServer.await("it closes", () -> begun.get() > 0);
         assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("two", "plain", "hello")).line());
         assertTrue(endedBefore.get(30, TimeUnit.SECONDS), "the answer is read while the process still runs");
         drain.join();
@@ -169,13 +169,13 @@
     /** It was read, and the process gone before its answer: lost, or sent by the next life here and by another. */
     @Test
     void nothingIsReadOnceTheProcessMayBeGone() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(1500);
         Socket kept = client();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         sender.drain();
-        Stub.write(kept, message("late", "plain", "hello"));
+        StubServer.write(kept, message("late", "plain", "hello"));
         // The loop reads what has come once before it answers the second of these.
         operator("GET", "/stats");
         operator("GET", "/stats");
@@ -187,12 +187,12 @@
     @Test
     void aNewDiscoveryAddressThatIsToldBeforeTheStartIsKept() throws Exception {
         sender = new Sender(config(), Sender.TAKING_MS, Sender.CLOSING_MS);
-        try (Stub old = agent) {
-            agent = new Stub(this::agent);
+        try (StubServer old = agent) {
+            agent = new StubServer(this::agent);
             config();
             sender.reconfigure(Map.of("GW_CONFIG", folder.resolve("config.json").toString()));
             address = sender.start();
-            Stub.await("the new one is watched", () -> agent.requests.stream()
+            StubServer.await("the new one is watched", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=")));
             assertEquals(List.of(), old.requests);
         }
@@ -200,7 +200,7 @@
 
     private void answerAll() {
         try {
-            for (Stub endpoint : endpoints) {
+            for (StubServer endpoint : endpoints) {
                 endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
         } catch (IOException e) {
@@ -221,13 +221,13 @@
     /** The program itself, as a process: SIGKILL loses nothing, and SIGTERM ends it by its own will. */
     @Test
     void theProcessOutlivesItsSignals() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         config();
         Process first = process();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         first.destroyForcibly().waitFor();
-        script(Stub.status(200, ""));
+        script(StubServer.status(200, ""));
         Process second = process();
         awaitNothingHeld();
         assertEquals(2, calls().size());
@@ -241,14 +241,16 @@
     void aNewConfigurationThatIsWholeOnlyAfterItsSignalIsTaken() throws Exception {
         config();
         Process process = process();
-        Stub.await("discovery is asked", () -> !agent.requests.isEmpty());
-        try (Stub old = agent) {
-            agent = new Stub(this::agent);
+        StubServer.await("discovery is asked", () -> !agent.requests.isEmpty());
+        try (StubServer old = agent) {
+            agent = new StubServer(this::agent);
             Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"127.");
             hangUp(process);
-            Stub.await("a part of it is read", () -> processLog().contains("the new configuration can't be read"));
+            StubServer.await("a part of it is read",
+                    () -> processLog().contains("the new configuration can't be read"));
             config();
-            Stub.await("the new one is watched", () -> agent.requests.stream().anyMatch(r -> r.line().contains("after=")));
+            StubServer.await("the new one is watched",
+                    () -> agent.requests.stream().anyMatch(r -> r.line().contains("after=")));
         }
         assertTrue(process.isAlive());
         process.destroyForcibly().waitFor();
@@ -266,13 +268,13 @@
     void theProcessOutlivesAHangUpAndUsesTheNewDiscoveryAddress() throws Exception {
         config();
         Process process = process();
-        Stub.await("discovery is asked", () -> !agent.requests.isEmpty());
+        StubServer.await("discovery is asked", () -> !agent.requests.isEmpty());
         reportStatus = 500;
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         handIn("one", "once");
-        Stub.await("a notice is tried", () -> agent.requests.stream().anyMatch(r -> r.line().startsWith("POST")));
-        try (Stub old = agent) {
-            agent = new Stub(this::agent);
+        StubServer.await("a notice is tried", () -> agent.requests.stream().anyMatch(r -> r.line().startsWith("POST")));
+        try (StubServer old = agent) {
+            agent = new StubServer(this::agent);
             Path file = folder.resolve("config.json");
             Files.writeString(file, "{ no configuration");
             hangUp(process);
@@ -280,7 +282,7 @@
             reportStatus = 204;
             hangUp(process);
             awaitNotice("dead");
-            Stub.await("the list is asked for whole, then watched", () -> agent.requests.stream()
+            StubServer.await("the list is asked for whole, then watched", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=")));
             assertTrue(agent.requests.stream().anyMatch(r -> r.line().equals("GET /v1/servers HTTP/1.1")));
         }
@@ -312,7 +314,7 @@
         processLog = log;
         Process process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         String ready = " listens at 127.0.0.1:";
-        Stub.await("the process is ready", () -> {
+        StubServer.await("the process is ready", () -> {
             try {
                 String text = Files.readString(log);
                 int at = text.indexOf(ready);
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -509,10 +509,10 @@
         String key = name + "-" + id.split("-")[2] + "-" + mine.nextInt(KEYS_OF_A_CLIENT);
         keyOrder.handedIn(key, id);
         int sentIn = life;
-        Stub.write(connection, TestConfig.message(id, name, "x".repeat(1 + mine.nextInt(400)))
+        StubServer.write(connection, TestConfig.message(id, name, "x".repeat(1 + mine.nextInt(400)))
                 .replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budget)
                 .replace("POST /" + name, "POST /" + name + "?thread=" + key));
-        Stub.Message answer = Stub.read(new BufferedInputStream(connection.getInputStream()), 0);
+        StubServer.Message answer = StubServer.read(new BufferedInputStream(connection.getInputStream()), 0);
         if (answer == null) {
             // On a kept one the close may have crossed the request, and a kill is counted only once it is done.
             pause(KILL_SEEN_MS);
--- a/src/test/java/starlingvalve/net/Stub.java
+++ b/src/test/java/starlingvalve/net/StubServer.java
@@ -19,7 +19,7 @@
 import java.util.function.BooleanSupplier;
 
 /** A scripted HTTP server on a loopback socket, and the plain client side, for tests. */
-final class Stub implements AutoCloseable {
+final class StubServer implements AutoCloseable {
     /** A request or an answer; {@code connection} numbers those of one server. */
     record Message(String line, Map<String, String> headers, String body, int connection, long atNanos) {
         String header(String name) {
@@ -43,12 +43,12 @@
     private volatile boolean closed;
     private int connections;
 
-    Stub(Script script) throws IOException {
+    StubServer(Script script) throws IOException {
         this(script, new ServerSocket());
     }
 
     /** On a server socket of the test's own, which is not bound yet. */
-    Stub(Script script, ServerSocket server) throws IOException {
+    StubServer(Script script, ServerSocket server) throws IOException {
         this.script = script;
         this.server = server;
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
--- a/src/test/java/starlingvalve/net/StubTest.java
+++ b/src/test/java/starlingvalve/net/StubServerTest.java
@@ -11,22 +11,22 @@
 import org.junit.jupiter.api.Test;
 
 /** The scripted server leaves nothing behind for later tests. */
-class StubTest {
+class StubServerTest {
     @Test
     void aScriptThatStillWaitsEndsWithItsServer() throws Exception {
         CountDownLatch waits = new CountDownLatch(1);
         CountDownLatch interrupted = new CountDownLatch(1);
-        Stub stub = new Stub((request, socket) -> {
+        StubServer stub = new StubServer((request, socket) -> {
             waits.countDown();
             try {
-                Stub.await("what never comes about", () -> false);
+                StubServer.await("what never comes about", () -> false);
             } catch (InterruptedException e) {
                 interrupted.countDown();
                 throw e;
             }
         });
         try (Socket client = new Socket(stub.address().getAddress(), stub.address().getPort())) {
-            Stub.write(client, "GET / HTTP/1.1\r\n\r\n");
+            StubServer.write(client, "GET / HTTP/1.1\r\n\r\n");
             waits.await();
             stub.close();
             assertTrue(interrupted.await(10, TimeUnit.SECONDS), "the script waits on");
@@ -46,7 +46,7 @@
                 return socket;
             }
         };
-        Stub stub = new Stub(Stub.status(200, ""), server);
+        StubServer stub = new StubServer(StubServer.status(200, ""), server);
         try (Socket client = new Socket(stub.address().getAddress(), stub.address().getPort())) {
             accepted.await();
             stub.close();
--- a/src/test/java/starlingvalve/net/IntakePropertyTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerPropertyTest.java
@@ -25,7 +25,7 @@
  * Whatever bytes come from a client, and in whatever pieces: a message is taken once at most, and only if it was a
  * whole, valid request of its own, before anything on its connection that was none.
  */
-class IntakePropertyTest {
+class SubmissionServerPropertyTest {
     private static final int TRIES = 500;
     private static final int MOST_REQUESTS = 4;
     private static final int LONGEST_BODY = 64 * 1024;
@@ -71,7 +71,7 @@
     private record Script(List<Form> forms, int last, List<Integer> cuts) {
     }
 
-    private final RecordingDesk desk = new RecordingDesk();
+    private final RecordingSubmissionHandler desk = new RecordingSubmissionHandler();
 
     @Property(seed = "20261202", tries = TRIES, edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.BOUNDED)
     void onlyWholeRequestsOfTheirOwnAreTakenAndOnce(@ForAll("scripts") Script script) {
@@ -96,7 +96,7 @@
     private void send(byte[] bytes, List<Integer> cuts) {
         EmbeddedChannel client = new EmbeddedChannel();
         client.freezeTime();
-        client.pipeline().addLast(new Intake(new DefaultEventLoop(), 10, desk).pipeline());
+        client.pipeline().addLast(new SubmissionServer(new DefaultEventLoop(), 10, desk).pipeline());
         client.pipeline().fireChannelActive();
         int[] places = cuts.stream().mapToInt(cut -> (int) ((long) bytes.length * cut / 1000)).sorted().toArray();
         int from = 0;
--- a/src/test/java/starlingvalve/net/IntakeTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -27,14 +27,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The client side by itself, on a clock that the test moves. */
-class IntakeTest {
-    private final RecordingDesk desk = new RecordingDesk();
+class SubmissionServerTest {
+    private final RecordingSubmissionHandler desk = new RecordingSubmissionHandler();
 
     private EmbeddedChannel client() {
-        return client(new Intake(new DefaultEventLoop(), 10, desk));
+        return client(new SubmissionServer(new DefaultEventLoop(), 10, desk));
     }
 
-    private static EmbeddedChannel client(Intake intake) {
+    private static EmbeddedChannel client(SubmissionServer intake) {
         EmbeddedChannel client = new EmbeddedChannel();
         client.freezeTime();
         client.pipeline().addLast(intake.pipeline());
@@ -114,7 +114,7 @@
 
     @Test
     void ifAllAreBusyTheNewOneIsClosedAndNoneElse() {
-        Intake intake = new Intake(new DefaultEventLoop(), 3, desk);
+        SubmissionServer intake = new SubmissionServer(new DefaultEventLoop(), 3, desk);
         List<EmbeddedChannel> busy = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             busy.add(client(intake));
@@ -130,7 +130,7 @@
 
     @Test
     void theLongestIdleMakesRoom() {
-        Intake intake = new Intake(new DefaultEventLoop(), 3, desk);
+        SubmissionServer intake = new SubmissionServer(new DefaultEventLoop(), 3, desk);
         EmbeddedChannel busy = client(intake);
         begin(busy);
         EmbeddedChannel first = client(intake);
@@ -144,12 +144,12 @@
     @Test
     void oneThatWentWhileItsVerdictWasOutIsNotCountedOnToMakeRoom() {
         LateDesk late = new LateDesk();
-        Intake intake = new Intake(new DefaultEventLoop(), 1, late);
+        SubmissionServer intake = new SubmissionServer(new DefaultEventLoop(), 1, late);
         EmbeddedChannel gone = client(intake);
         send(gone, request("one", 0));
         gone.close();
         gone.runPendingTasks();
-        late.out.get(0).accept(Intake.Verdict.refused("late"));
+        late.out.get(0).accept(SubmissionServer.Verdict.refused("late"));
         EmbeddedChannel idle = client(intake);
         EmbeddedChannel more = client(intake);
         assertFalse(idle.isOpen());
@@ -157,11 +157,11 @@
     }
 
     /** Takes its time. */
-    private static final class LateDesk extends RecordingDesk {
-        final List<Consumer<Intake.Verdict>> out = new ArrayList<>();
+    private static final class LateDesk extends RecordingSubmissionHandler {
+        final List<Consumer<SubmissionServer.Verdict>> out = new ArrayList<>();
 
         @Override
-        public void take(Intake.Submission submission, Consumer<Intake.Verdict> then) {
+        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> then) {
             out.add(then);
         }
     }
@@ -169,13 +169,13 @@
     @Test
     void aConnectionWhoseRequestIsUnansweredIsNotClosedForIdleness() {
         LateDesk late = new LateDesk();
-        EmbeddedChannel client = client(new Intake(new DefaultEventLoop(), 1, late));
+        EmbeddedChannel client = client(new SubmissionServer(new DefaultEventLoop(), 1, late));
         send(client, request("one", 0));
         for (int i = 0; i < 3; i++) {
             pass(client, 10_100);
             assertTrue(client.isOpen(), "closed with no answer");
         }
-        late.out.forEach(verdict -> verdict.accept(Intake.Verdict.refused("not now")));
+        late.out.forEach(verdict -> verdict.accept(SubmissionServer.Verdict.refused("not now")));
         client.runPendingTasks();
         assertTrue(client.<ByteBuf>readOutbound().toString(StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 503 "));
         pass(client, 10_100);
@@ -191,7 +191,7 @@
         EventLoop loop = group.next();
         List<Socket> sockets = new ArrayList<>();
         try {
-            Intake intake = new Intake(loop, most, desk);
+            SubmissionServer intake = new SubmissionServer(loop, most, desk);
             intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
             InetSocketAddress address = intake.address();
             CountDownLatch connected = new CountDownLatch(1);
@@ -209,7 +209,7 @@
             connected.countDown();
             assertTrue(accepted.get() > 0, "there was room for some");
             assertTrue(accepted.get() <= most + DescriptorBudget.ACCEPT_BURST, "at once: " + accepted.get());
-            Stub.await("nobody listens any more", () -> connect(address).isEmpty());
+            StubServer.await("nobody listens any more", () -> connect(address).isEmpty());
             // Behind the ends of those that made room, which are told in a turn of their own.
             loop.submit(() -> { }).get();
             int open = loop.submit(intake::clients).get();
@@ -226,11 +226,12 @@
     /** A close that takes effect later resets what connects until then. */
     @Test
     void aConnectionThatComesUpWhileTheListenerClosesIsAnsweredOrRefused() throws Exception {
-        for (Consumer<Intake> end : List.<Consumer<Intake>>of(Intake::close, Intake::leave, Intake::listenNoMore)) {
+        for (Consumer<SubmissionServer> end : List.<Consumer<SubmissionServer>>of(SubmissionServer::close,
+                SubmissionServer::leave, SubmissionServer::listenNoMore)) {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
             EventLoop loop = group.next();
             try {
-                Intake intake = new Intake(loop, 10, desk);
+                SubmissionServer intake = new SubmissionServer(loop, 10, desk);
                 intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
                 InetSocketAddress address = intake.address();
                 Optional<Socket> crossing = loop.submit(() -> {
@@ -239,11 +240,12 @@
                 }).get();
                 if (crossing.isPresent()) {
                     try (Socket client = crossing.get()) {
-                        Stub.Message answer = SenderFixture.ask(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+                        StubServer.Message answer =
+                                SenderFixture.ask(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
                         assertEquals("HTTP/1.1 200 OK", answer.line());
                     }
                 }
-                Stub.await("nobody listens any more", () -> connect(address).isEmpty());
+                StubServer.await("nobody listens any more", () -> connect(address).isEmpty());
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
             }
--- a/src/test/java/starlingvalve/net/SurplusAnswerTest.java
+++ b/src/test/java/starlingvalve/net/SurplusAnswerTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import starlingvalve.Relay.Outcome;
+import starlingvalve.DeliveryPolicy.Outcome;
 import starlingvalve.net.EndpointClient.End;
 
 /** Good answers that bring more than belongs to them: they count, and what came with them answers nothing else. */
@@ -44,7 +44,7 @@
         return List.of(answer, answer + answer, answer.substring(0, answer.length() - 1), "noise", "\r\n", "\0\1\2");
     }
 
-    private List<End> ends(Stub stub, List<String> ids) throws Exception {
+    private List<End> ends(StubServer stub, List<String> ids) throws Exception {
         EndpointClient client = new EndpointClient(loop, stub.address());
         client.inLoop(() -> {
             client.start(ids, LONG_MS);
@@ -57,7 +57,7 @@
     void anAnswerToSeveralMessagesCountsThoughMoreComesWithIt() throws Exception {
         String answer = TestConfig.answer("a accepted\r\nb deferred\r\nc expired\r\n");
         for (String surplus : surplusOf(answer)) {
-            try (Stub stub = new Stub((request, socket) -> Stub.write(socket, answer + surplus))) {
+            try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, answer + surplus))) {
                 assertEquals(List.of(new End("a", Outcome.DELIVERED, false, 0), new End("b", Outcome.FULL, false, 0),
                         new End("c", Outcome.NOT_SENT, true, 0)), ends(stub, List.of("a", "b", "c")), "with " + surplus);
             }
@@ -68,7 +68,7 @@
     void aRefusalCountsThoughMoreComesWithIt() throws Exception {
         String refusal = "HTTP/1.1 429 x\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n";
         for (String surplus : surplusOf(refusal)) {
-            try (Stub stub = new Stub((request, socket) -> Stub.write(socket, refusal + surplus))) {
+            try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, refusal + surplus))) {
                 assertEquals(List.of(new End("a", Outcome.FULL, false, 1500)), ends(stub, List.of("a")),
                         "with " + surplus);
             }
@@ -78,7 +78,7 @@
     @Test
     void anAnswerThatNamesNoneOfItsMessagesIsThatOfAnotherCallAndEndsItsConnection() throws Exception {
         String answer = TestConfig.answer("x accepted\r\ny accepted\r\n");
-        try (Stub stub = new Stub((request, socket) -> Stub.write(socket, answer))) {
+        try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, answer))) {
             EndpointClient client = new EndpointClient(loop, stub.address());
             for (int connection = 0; connection < 2; connection++) {
                 client.inLoop(() -> {
@@ -93,7 +93,7 @@
     }
 
     /** A first answer, and its copy a moment later: by then the next request may be on its way. Then refusals. */
-    private static final class LateCopy implements Stub.Script {
+    private static final class LateCopy implements StubServer.Script {
         private final String answer;
         private final String refusal;
         private final CountDownLatch firstRead = new CountDownLatch(1);
@@ -111,19 +111,19 @@
         }
 
         @Override
-        public synchronized void come(Stub.Message request, Socket socket) throws Exception {
+        public synchronized void come(StubServer.Message request, Socket socket) throws Exception {
             if (copied) {
-                Stub.write(socket, refusal);
+                StubServer.write(socket, refusal);
                 return;
             }
             copied = true;
-            Stub.write(socket, answer);
+            StubServer.write(socket, answer);
             firstRead.await();
             long begun = System.nanoTime();
             while (socket.getInputStream().available() == 0 && System.nanoTime() - begun < MOMENT_NANOS) {
                 Thread.onSpinWait();
             }
-            Stub.write(socket, answer);
+            StubServer.write(socket, answer);
             tookNanos = System.nanoTime() - begun;
         }
 
@@ -133,7 +133,7 @@
     }
 
     private interface Play {
-        void with(Stub stub, LateCopy script) throws Exception;
+        void with(StubServer stub, LateCopy script) throws Exception;
     }
 
     private static void untilValid(String answer, String refusal, Play play) throws Exception {
@@ -142,7 +142,7 @@
         do {
             assertTrue(plays++ < MOST_PLAYS, "the machine stands still too often");
             script = new LateCopy(answer, refusal);
-            try (Stub stub = new Stub(script)) {
+            try (StubServer stub = new StubServer(script)) {
                 play.with(stub, script);
             } catch (AssertionError e) {
                 if (script.isValid()) {
@@ -171,7 +171,7 @@
 
     @Test
     void aCallWhoseTimeIsUpWhileItsConnectionIsQuietTellsNothingOfTheEndpoint() throws Exception {
-        try (Stub stub = new Stub(Stub.status(200, ""))) {
+        try (StubServer stub = new StubServer(StubServer.status(200, ""))) {
             EndpointClient client = new EndpointClient(loop, stub.address());
             client.inLoop(() -> {
                 client.whenNextEnds(() -> client.start(List.of("hasty"), HASTY_MS));
@@ -187,7 +187,7 @@
     @Test
     void aSecondCopyThatComesAMomentLaterIsNoAnswerToTheNextNotice() throws Exception {
         untilValid("HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", (stub, script) -> {
-            Agent agent = new Agent(loop, stub.address());
+            AgentConnection agent = new AgentConnection(loop, stub.address());
             CompletableFuture<Integer> second = new CompletableFuture<>();
             loop.execute(() -> ask(agent, new CompletableFuture<>(), () -> {
                 ask(agent, second, () -> { });
@@ -197,7 +197,7 @@
         });
     }
 
-    private static void ask(Agent agent, CompletableFuture<Integer> status, Runnable then) {
+    private static void ask(AgentConnection agent, CompletableFuture<Integer> status, Runnable then) {
         agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"), (long) LONG_MS,
                 answer -> {
                     status.complete(answer.map(a -> a.status().code()).orElse(0));
--- a/src/test/java/starlingvalve/net/SurplusWriter.java
+++ b/src/test/java/starlingvalve/net/SurplusWriter.java
@@ -35,17 +35,17 @@
 
     void write(Socket socket, String answer) throws IOException {
         if (draw(100) >= percent) {
-            Stub.write(socket, answer);
+            StubServer.write(socket, answer);
             return;
         }
         String surplus = draw(2) == 0 ? answer : NOISE.get(draw(NOISE.size()));
         if (draw(2) == 0) {
             met.incrementAndGet();
-            Stub.write(socket, answer + surplus);
+            StubServer.write(socket, answer + surplus);
             return;
         }
         long answeredAt = System.nanoTime();
-        Stub.write(socket, answer);
+        StubServer.write(socket, answer);
         writeLater(socket, surplus, answeredAt);
     }
 
@@ -59,7 +59,7 @@
         boolean nothingWaits = socket.getInputStream().available() == 0;
         if (nothingWaits && System.nanoTime() - answeredAt < STRAIGHT_BEHIND_NANOS) {
             met.incrementAndGet();
-            Stub.write(socket, surplus);
+            StubServer.write(socket, surplus);
         }
     }
 
--- a/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
+++ b/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
@@ -43,7 +43,7 @@
             accept(call, socket);
         });
         handIn("delivered", "safe");
-        Stub.await("it is called for", () -> callsWith("delivered") == 1);
+        StubServer.await("it is called for", () -> callsWith("delivered") == 1);
         faults.diskFull();
         failing.countDown();
         awaitAllEnded();
@@ -62,12 +62,12 @@
 
     @Test
     void whatIsTakenBehindATornRecordIsStillOwedAfterAKill() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         faults.diskTears(50);
         assertEquals("503", answerTo("torn", "safe"));
         faults.diskMended();
         handIn("owed", "safe");
-        Stub.await("it is called for", () -> callsWith("owed") == 1);
+        StubServer.await("it is called for", () -> callsWith("owed") == 1);
         script(SenderProcessFixture::accept);
         restart();
         awaitAllEnded();
@@ -97,9 +97,9 @@
 
     @Test
     void whatWasNotTriedBeforeAKillIsStillTriedThoughTheClockWasSetForward() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         handIn("opener", "safe");
-        Stub.await("the only slot is taken", () -> callsWith("opener") == 1);
+        StubServer.await("the only slot is taken", () -> callsWith("opener") == 1);
         handIn("untried", "unsafe");
         sender.kill();
         faults.clockAhead(HOUR_MS);
@@ -112,17 +112,17 @@
 
     @Test
     void aMessageEndsInItsTimeThoughTheClockWasSetBack() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         long handedIn = System.nanoTime();
         String request = TestConfig.message("brief", "brief", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BRIEF_MS);
         assertEquals("HTTP/1.1 202 Accepted", ask(sender.address(), request).line());
-        Stub.await("it is called for", () -> callsWith("brief") == 1);
+        StubServer.await("it is called for", () -> callsWith("brief") == 1);
         // Most of its time is gone; a test can't step the monotonic clock, by which that is meant to count.
         TimeUnit.MILLISECONDS.sleep(BRIEF_MS * 2 / 3);
         sender.kill();
         faults.clockAhead(-HOUR_MS);
         sender.start();
-        Stub.await("its notice", () -> !agent.notices.isEmpty());
+        StubServer.await("its notice", () -> !agent.notices.isEmpty());
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedIn);
         assertTrue(tookMs <= BRIEF_MS + LATEST_MS, "its end came after " + tookMs + " ms of " + BRIEF_MS);
     }
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -45,7 +45,7 @@
     }
 
     /** A new process that fails where it is told to. */
-    private static class FailingHeir implements Takeover.Heir {
+    private static class FailingTakeoverCallbacks implements Takeover.Callbacks {
         final AtomicInteger asked = new AtomicInteger();
         final AtomicInteger failures = new AtomicInteger();
 
@@ -89,7 +89,7 @@
     /** An error leaves the process with the lock, and nobody that lets go of it: the old process waits for it for good. */
     @Test
     void anErrorOnTheWayToOwningIsToldAsAFailure() throws Exception {
-        FailingHeir heir = new FailingHeir();
+        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks();
         Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS), heir);
         loop.submit(takeover::begin).await();
         assertEquals(1, heir.failures.get());
@@ -99,7 +99,7 @@
     @Test
     @Timeout(30)
     void aFaultInListeningGivesEverythingBackToTheOldProcess() throws Exception {
-        FailingHeir heir = new FailingHeir();
+        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks();
         try (StateLock lock = StateLock.take(folder).orElseThrow();
                 ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                         .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
@@ -107,7 +107,7 @@
             loop.execute(takeover::begin);
             try (SocketChannel link = old.accept()) {
                 link.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
-                Stub.await("it tries to listen", () -> heir.asked.get() == 1);
+                StubServer.await("it tries to listen", () -> heir.asked.get() == 1);
                 ByteBuffer read = ByteBuffer.allocate(1024);
                 while (link.read(read) >= 0) {
                     read.clear();
@@ -121,7 +121,7 @@
     @Timeout(30)
     void aNewProcessThatCanNotOpenTheJournalForAMomentAsksAgainInsteadOfEnding() throws Exception {
         AtomicInteger tries = new AtomicInteger();
-        FailingHeir heir = new FailingHeir() {
+        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks() {
             @Override
             public void listenBeside(Runnable then, Runnable failed) {
                 then.run();
@@ -149,7 +149,7 @@
                 // As the old process does before it ends the link.
                 StateLock.take(folder).orElseThrow(() -> new AssertionError("the lock is kept")).close();
             }
-            Stub.await("it owns once the old process has gone", () -> tries.get() == 2);
+            StubServer.await("it owns once the old process has gone", () -> tries.get() == 2);
             assertEquals(0, heir.failures.get());
         }
     }
@@ -159,7 +159,7 @@
     @Timeout(30)
     void aNewProcessThatGaveUpStartsBesideNoOldOneThatHasStillToTakeItsLock() throws Exception {
         AtomicInteger owned = new AtomicInteger();
-        FailingHeir heir = new FailingHeir() {
+        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks() {
             @Override
             public void own(StateLock lock, Optional<JsonNode> state) {
                 owned.incrementAndGet();
@@ -180,15 +180,15 @@
                 loop.submit(takeover::hasPartner).sync();
                 assertEquals(0, owned.get());
             }
-            Stub.await("it owns once the old process has gone", () -> owned.get() == 1);
+            StubServer.await("it owns once the old process has gone", () -> owned.get() == 1);
         }
     }
 
     /** Netty's channel of a bind that has made no socket is none of ours. */
     @Test
     void aSocketThatCanNotBeMadeIsToldAsAFailedBind() throws Exception {
-        Intake intake = new Intake(loop, 10, new RecordingDesk());
-        Field bootstrap = Intake.class.getDeclaredField("bootstrap");
+        SubmissionServer intake = new SubmissionServer(loop, 10, new RecordingSubmissionHandler());
+        Field bootstrap = SubmissionServer.class.getDeclaredField("bootstrap");
         bootstrap.setAccessible(true);
         Field factory = AbstractBootstrap.class.getDeclaredField("channelFactory");
         factory.setAccessible(true);
--- a/src/test/java/starlingvalve/net/TakeoverTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverTest.java
@@ -37,7 +37,7 @@
     private StateLock lock;
     private volatile boolean ownFails;
 
-    private final Takeover.Heir heir = new Takeover.Heir() {
+    private final Takeover.Callbacks heir = new Takeover.Callbacks() {
         @Override
         public boolean prepared() {
             return true;
@@ -119,15 +119,15 @@
     void whatIsReportedBeforeItOwnsIsHeardOnceItDoes() throws Exception {
         try (SocketChannel link = asked()) {
             write(link, "{\"do\":\"state\"}\n{\"do\":\"ended\"}\n{\"do\":\"submit\"}\n");
-            Stub.await("it listens", () -> listening.size() == 1);
+            StubServer.await("it listens", () -> listening.size() == 1);
             lock.close();
             loop.submit(() -> { }).syncUninterruptibly();
             assertEquals(List.of(), heard);
             loop.execute(listening.get(0));
             assertEquals("{\"do\":\"own\"}\n", read(link));
-            Stub.await("the reports", () -> heard.size() == 3);
+            StubServer.await("the reports", () -> heard.size() == 3);
         }
-        Stub.await("the end", () -> heard.contains("gone"));
+        StubServer.await("the end", () -> heard.contains("gone"));
         assertEquals(List.of("own with state", "ended", "submit", "gone"), heard);
     }
 
@@ -135,10 +135,10 @@
     void anOldProcessThatDiesHalfWayLeavesAPlainStart() throws Exception {
         try (SocketChannel link = asked()) {
             write(link, "{\"do\":\"state\"}\n");
-            Stub.await("it listens", () -> listening.size() == 1);
+            StubServer.await("it listens", () -> listening.size() == 1);
         }
         lock.close();
-        Stub.await("it owns", () -> heard.contains("own"));
+        StubServer.await("it owns", () -> heard.contains("own"));
         loop.submit(listening.get(0)).syncUninterruptibly();
         assertEquals(List.of("listen no more", "own"), heard, "the state of a process that is gone is not taken");
     }
@@ -156,10 +156,10 @@
         ownFails = true;
         try (SocketChannel link = asked()) {
             write(link, "{\"do\":\"state\"}\n");
-            Stub.await("it listens", () -> listening.size() == 1);
+            StubServer.await("it listens", () -> listening.size() == 1);
             lock.close();
             loop.execute(listening.get(0));
-            Stub.await("the failure", () -> heard.contains("failed"));
+            StubServer.await("the failure", () -> heard.contains("failed"));
         }
         assertEquals(List.of("own with state", "failed"), heard);
     }
@@ -169,7 +169,7 @@
     void reportsBehindOneThatFailsAreStillHeard() throws Exception {
         try (SocketChannel link = asked()) {
             write(link, "{\"do\":\"state\"}\n{\"do\":\"ended\",\"fails\":true}\n{\"do\":\"ended\"}\n");
-            Stub.await("it listens", () -> listening.size() == 1);
+            StubServer.await("it listens", () -> listening.size() == 1);
             lock.close();
             loop.submit(() -> { }).syncUninterruptibly();
             // As from a listener of a future, which keeps what is thrown to itself.
--- a/src/test/java/starlingvalve/net/TestConfig.java
+++ b/src/test/java/starlingvalve/net/TestConfig.java
@@ -69,7 +69,7 @@
     }
 
     /** A list of one endpoint, as discovery would answer it. */
-    static String list(Stub endpoint) {
+    static String list(StubServer endpoint) {
         return list(List.of(endpoint.hostPort()));
     }
 
@@ -109,13 +109,13 @@
     }
 
     /** Answers a request for the whole list with the one endpoint. */
-    static void answerList(Socket socket, Stub endpoint) throws IOException {
+    static void answerList(Socket socket, StubServer endpoint) throws IOException {
         answer(socket, list(endpoint));
     }
 
     /** Answers with a body. */
     static void answer(Socket socket, String body) throws IOException {
-        Stub.write(socket, answer(body));
+        StubServer.write(socket, answer(body));
     }
 
     /** An answer with a body. */
--- a/src/test/java/starlingvalve/net/ToldWaitOrderTest.java
+++ b/src/test/java/starlingvalve/net/ToldWaitOrderTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import starlingvalve.Relay.Outcome;
+import starlingvalve.DeliveryPolicy.Outcome;
 
 /**
  * An answer that tells a wait arrives while another call is about to go out. What has arrived before a call is
@@ -47,13 +47,13 @@
     private boolean waitIsTold;
     /** Used on the loop: calls of which it was asked whether they may start, which is done with the answer at once. */
     private int askedToStart;
-    private Stub teller;
+    private StubServer teller;
     private Endpoints endpoints;
 
     @BeforeEach
     void open() throws Exception {
-        teller = new Stub((request, socket) -> asked.add(socket));
-        endpoints = new Endpoints(loop, DIAL_MS, 15_000, 1, 4, new PermissiveEnds() {
+        teller = new StubServer((request, socket) -> asked.add(socket));
+        endpoints = new Endpoints(loop, DIAL_MS, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
             @Override
             public boolean mayStart(Endpoints.Call call) {
                 askedToStart++;
@@ -93,7 +93,8 @@
     }
 
     private void call(String id, long endpoint) {
-        Held held = new Held(0, id, "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[5]);
+        AcceptedMessage held =
+                new AcceptedMessage(0, id, "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[5]);
         endpoints.call(held, 0, endpoint, TIMEOUT_MS);
         endpoints.flush();
     }
@@ -131,11 +132,11 @@
             at(OTHER, listener.address());
             int askedBefore = loop.submit(() -> askedToStart).get();
             loop.submit(() -> call("other", OTHER)).sync();
-            Stub.await("the connection is being made",
+            StubServer.await("the connection is being made",
                     () -> loop.submit(() -> askedToStart).syncUninterruptibly().getNow() > askedBefore);
             holdLoop();
             listener.acceptNext();
-            Stub.write(out, TOLD_WAIT);
+            StubServer.write(out, TOLD_WAIT);
             loopRunsOn.countDown();
             assertEndsUnsent("other");
         }
@@ -144,7 +145,7 @@
     /** The loop is held up, as by a slow disk, between the decision for a call and its first byte. */
     @Test
     void aCallOnAKeptConnectionThatIsHeldUpBeforeItsFirstByteIsHeldBack() throws Exception {
-        try (Stub other = new Stub(Stub.status(200, ""))) {
+        try (StubServer other = new StubServer(StubServer.status(200, ""))) {
             at(OTHER, other.address());
             loop.submit(() -> call("first", OTHER)).sync();
             assertEquals(new End("first", Outcome.DELIVERED), ended.poll(30, TimeUnit.SECONDS));
@@ -162,7 +163,7 @@
     private static void tellWaitAndStayHeldUp(Socket out) {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(150);
         try {
-            Stub.write(out, TOLD_WAIT);
+            StubServer.write(out, TOLD_WAIT);
             while (System.nanoTime() < until) {
                 Thread.sleep(1);
             }
--- a/src/test/java/starlingvalve/net/ToldWaitProcessTest.java
+++ b/src/test/java/starlingvalve/net/ToldWaitProcessTest.java
@@ -42,8 +42,8 @@
     }
 
     private static void handInOn(Socket client, InputStream answers, String id) throws IOException {
-        Stub.write(client, TestConfig.message(id, "safe", "hello"));
-        assertTrue(Stub.read(answers, 0).line().contains(" 202"));
+        StubServer.write(client, TestConfig.message(id, "safe", "hello"));
+        assertTrue(StubServer.read(answers, 0).line().contains(" 202"));
     }
 
     @Test
@@ -56,14 +56,14 @@
             handInOn(client, answers, "turned-away");
             Socket out = nextAsked();
             sender.suspend();
-            Stub.write(client, TestConfig.message("late", "safe", "hello"));
-            Stub.write(out, TOLD_WAIT);
+            StubServer.write(client, TestConfig.message("late", "safe", "hello"));
+            StubServer.write(out, TOLD_WAIT);
             long toldAt = System.nanoTime();
             sender.signal("CONT");
-            Stub.write(nextAsked(), ACCEPTED);
-            Stub.write(nextAsked(), ACCEPTED);
+            StubServer.write(nextAsked(), ACCEPTED);
+            StubServer.write(nextAsked(), ACCEPTED);
             awaitAllEnded();
-            for (Stub.Message call : calls().subList(3, 5)) {
+            for (StubServer.Message call : calls().subList(3, 5)) {
                 long after = call.atNanos() - toldAt;
                 assertTrue(after >= WAIT_NANOS, ids(call) + " came " + after / 1e6 + " ms after the wait was told");
             }
@@ -75,7 +75,7 @@
         handInOn(client, answers, "first");
         handInOn(client, answers, "second");
         for (Socket socket : List.of(nextAsked(), nextAsked())) {
-            Stub.write(socket, ACCEPTED);
+            StubServer.write(socket, ACCEPTED);
         }
         awaitAllEnded();
         assertEquals(2, calls().size());
--- a/src/test/java/starlingvalve/net/UpgradeProcessTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeProcessTest.java
@@ -40,7 +40,7 @@
         script((call, socket) -> {
             String id = ids(call).get(0);
             if (id.equals("hedged") && callsWith(id) == 2) {
-                Stub.write(socket, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+                StubServer.write(socket, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
             } else {
                 answers.await();
                 accept(call, socket);
@@ -50,14 +50,14 @@
         handIn("hedged", "hedged");
         sender.awaitEvent("attempt-ended", "id=hedged", "attempt=1", "outcome=FULL");
         handInOrdered("first");
-        Stub.await("the first of the thread is out", () -> callsWith("first") == 1);
+        StubServer.await("the first of the thread is out", () -> callsWith("first") == 1);
         handInOrdered("second");
         successor = sender.successor().start();
         successor.awaitEvent("takeover", "open=3", "calls=2");
         sender.signal("TERM");
         answers.countDown();
         sender.awaitEnd();
-        Stub.await("the second of the thread is delivered", () -> callsWith("second") == 1);
+        StubServer.await("the second of the thread is delivered", () -> callsWith("second") == 1);
         sender = successor;
         awaitAllEnded();
     }
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -70,7 +70,7 @@
     private final List<DeadlineRecord.Restart> restarts = new CopyOnWriteArrayList<>();
     private final List<SenderProcess> processes = new ArrayList<>();
     private final List<Process> busyProcesses = new ArrayList<>();
-    private final List<Stub> endpoints = new ArrayList<>();
+    private final List<StubServer> endpoints = new ArrayList<>();
     private final List<String> signals = new ArrayList<>();
     private final StallMeter stalls = new StallMeter();
     private DiscoveryAgent agent;
@@ -94,7 +94,7 @@
         for (Process busy : busyProcesses) {
             busy.destroyForcibly();
         }
-        for (Stub endpoint : endpoints) {
+        for (StubServer endpoint : endpoints) {
             endpoint.close();
         }
         agent.close();
@@ -182,7 +182,7 @@
 
     private void addEndpoint(String name, FaultyDestination destination, int number, Random random) throws IOException {
         Endpoint endpoint = new Endpoint(name, destination, number, random);
-        Stub stub = new Stub(endpoint::come);
+        StubServer stub = new StubServer(endpoint::come);
         endpoints.add(stub);
         agent.list(name, stub.hostPort(), destination.number(), DiscoveryAgent.SERVING);
     }
@@ -205,7 +205,7 @@
             return random.nextInt(bound);
         }
 
-        void come(Stub.Message call, Socket socket) throws Exception {
+        void come(StubServer.Message call, Socket socket) throws Exception {
             List<String> ids = SenderProcessFixture.ids(call);
             FaultyDestination.Mode now = destination.mode(number, healthyPercent);
             seen(ids, now + " " + name);
@@ -225,7 +225,7 @@
             }
         }
 
-        private void accept(Stub.Message call, List<String> ids, Socket socket, long delayMs) throws Exception {
+        private void accept(StubServer.Message call, List<String> ids, Socket socket, long delayMs) throws Exception {
             TimeUnit.MILLISECONDS.sleep(delayMs);
             SenderProcessFixture.accept(call, socket);
             long now = System.nanoTime();
@@ -234,7 +234,7 @@
 
         private void answer(Socket socket, List<String> ids, long delayMs, String statusAndHeaders) throws Exception {
             TimeUnit.MILLISECONDS.sleep(delayMs);
-            Stub.write(socket, "HTTP/1.1 " + statusAndHeaders + "Content-Length: 0\r\n\r\n");
+            StubServer.write(socket, "HTTP/1.1 " + statusAndHeaders + "Content-Length: 0\r\n\r\n");
             seen(ids, "answered " + statusAndHeaders.substring(0, 3));
         }
     }
@@ -310,10 +310,11 @@
             int budget = messageClass.deadlineMs() - random.nextInt(messageClass.deadlineMs() / 4);
             DeadlineRecord record = new DeadlineRecord(id, System.nanoTime(), budget);
             records.put(id, record);
-            Stub.write(connection, TestConfig.message(id, messageClass.name(), "x".repeat(1 + random.nextInt(400)))
+            StubServer.write(connection,
+                    TestConfig.message(id, messageClass.name(), "x".repeat(1 + random.nextInt(400)))
                     .replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budget)
                     .replace("dest=" + TestConfig.DESTINATION, "dest=" + destination));
-            Stub.Message answer = Stub.read(input, 0);
+            StubServer.Message answer = StubServer.read(input, 0);
             if (answer == null) {
                 throw new IOException("closed with no answer");
             }
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -28,9 +28,9 @@
         Socket kept = client();
         assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("before", "order", "hello")).line());
         awaitNothingHeld();
-        script(Stub.silent());
+        script(StubServer.silent());
         handIn("out", "once");
-        Stub.await("it is out", () -> calls().size() == 2);
+        StubServer.await("it is out", () -> calls().size() == 2);
         assertEquals("200 ok\n", operator("POST", "/endpoints/s-1/maint"));
         Sender old = upgrade();
         try {
@@ -38,12 +38,12 @@
             assertEquals(1, figure("in_flight"));
             assertEquals(1, figure("endpoints_excluded"));
             assertEquals(0, figure("served.order"), "counts start with the process");
-            Stub.Message passed = ask(kept, message("passed", "order", "hello"));
+            StubServer.Message passed = ask(kept, message("passed", "order", "hello"));
             assertEquals("HTTP/1.1 202 Accepted", passed.line());
             assertEquals("close", passed.header("Connection"));
             handIn("after", "order");
-            Stub.await("both are out", () -> calls().size() == 4);
-            for (Stub endpoint : endpoints) {
+            StubServer.await("both are out", () -> calls().size() == 4);
+            for (StubServer endpoint : endpoints) {
                 endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
             awaitNothingHeld();
@@ -57,10 +57,10 @@
 
     @Test
     void whatTheOldProcessHadOutMayHaveRunIfItIsKilled() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("once", "once");
-        Stub.await("it is out", () -> calls().size() == 1);
+        StubServer.await("it is out", () -> calls().size() == 1);
         upgrade().kill();
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
         assertEquals(1, calls().size());
@@ -76,10 +76,10 @@
             while (state.position() == 0 || state.get(state.position() - 1) != '\n') {
                 fails.read(state);
             }
-            Stub.write(kept, message("meanwhile", "order", "hello"));
+            StubServer.write(kept, message("meanwhile", "order", "hello"));
         }
         assertEquals("HTTP/1.1 202 Accepted",
-                Stub.read(new BufferedInputStream(kept.getInputStream()), 0).line());
+                StubServer.read(new BufferedInputStream(kept.getInputStream()), 0).line());
         awaitNothingHeld();
         assertEquals(1, calls().size());
         Sender old = upgrade();
