--- a/src/main/java/starlingvalve/net/AgentConnection.java
+++ b/src/main/java/starlingvalve/net/AgentConnection.java
@@ -117,7 +117,7 @@
             return;
         }
         disconnect();
-        Connects.whenDone(loop, bootstrap.connect(address), done -> connected(mine, request, done));
+        EventLoopListeners.whenDone(loop, bootstrap.connect(address), done -> connected(mine, request, done));
     }
 
     private void connected(Request mine, FullHttpRequest request, ChannelFuture done) {
--- a/src/main/java/starlingvalve/net/AttemptReport.java
+++ b/src/main/java/starlingvalve/net/AttemptReport.java
@@ -13,7 +13,7 @@
  */
 record AttemptReport(Optional<Interruption> interruption, int status, int messages, int left) {
     /** Whether a message had left the call, whose answer then does not count for the platform in all cases. */
-    boolean wasPartlyLeft() {
+    boolean wasPartlyAbandoned() {
         return messages > 1 && left > 0;
     }
 
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -67,7 +67,7 @@
         boolean mayStart(Call call);
 
         /** Runs a task once calls may go out by the list of endpoints: at once if they may now. */
-        default void whenListIsCurrent(Runnable task) {
+        default void runWhenListIsCurrent(Runnable task) {
             task.run();
         }
 
@@ -90,7 +90,7 @@
          * The answer tells that the message of a call is over, after another end of that call was told: it had left its
          * exchange, which others still waited for. {@code delivered}: by this call.
          */
-        void overAfterEnd(Call call, boolean delivered);
+        void messageEndedAfterCall(Call call, boolean delivered);
 
         /** The exchange of a call that ended while it was open is over. */
         void closed(Call call);
@@ -140,7 +140,7 @@
 
     private final EventLoop loop;
     private final LongSupplier nanos;
-    private final Endpoints.Callbacks ends;
+    private final Callbacks ends;
     private final InputBarrier inputBarrier;
     private final Bootstrap bootstrap;
     private final long idleNanos;
@@ -154,19 +154,19 @@
     private final List<Exchange> gathered = new ArrayList<>();
     private int idle;
 
-    Endpoints(EventLoop loop, double dialMs, double keepAliveMs, int senders, int mostIdle, Endpoints.Callbacks ends) {
+    Endpoints(EventLoop loop, double dialMs, double keepAliveMs, int senders, int mostIdle, Callbacks ends) {
         this(loop, System::nanoTime, dialMs, keepAliveMs, senders, mostIdle, ends);
     }
 
     /** With a clock of its own for how long connections idle. */
     Endpoints(EventLoop loop, LongSupplier nanos, double dialMs, double keepAliveMs, int senders, int mostIdle,
-            Endpoints.Callbacks ends) {
+            Callbacks ends) {
         this(loop, nanos, UnreadInputChannel::new, dialMs, keepAliveMs, senders, mostIdle, ends);
     }
 
     /** With channels of its own, for tests. */
     Endpoints(EventLoop loop, LongSupplier nanos, ChannelFactory<UnreadInputChannel> channels, double dialMs,
-            double keepAliveMs, int senders, int mostIdle, Endpoints.Callbacks ends) {
+            double keepAliveMs, int senders, int mostIdle, Callbacks ends) {
         this.loop = loop;
         this.nanos = nanos;
         this.ends = ends;
@@ -190,7 +190,7 @@
      * An endpoint of this kind is at this address from now on, and takes so many messages in one exchange;
      * connections to another address are of no more use.
      */
-    void at(long endpoint, InetSocketAddress address, boolean serving, int kind, int batch) {
+    void updateEndpoint(long endpoint, InetSocketAddress address, boolean serving, int kind, int batch) {
         Peer peer = peers.computeIfAbsent(endpoint, Peer::new);
         if (!serving || !address.equals(peer.address)) {
             closeIdle(endpoint);
@@ -222,7 +222,7 @@
     }
 
     private void startOnceAllIsRead(Exchange exchange) {
-        inputBarrier.whenRead(() -> ends.whenListIsCurrent(exchange::start));
+        inputBarrier.whenRead(() -> ends.runWhenListIsCurrent(exchange::start));
     }
 
     /** Stops waiting for a call; its connection is closed when nothing else is waited for on it. */
@@ -231,14 +231,14 @@
     }
 
     /** Ends a call of which nothing is written yet, as not sent: its connection is still coming up. */
-    void callOffUnsent(Call call) {
+    void cancelUnsent(Call call) {
         if (call.exchange.connection == null) {
             call.leave(Interruption.WITHHELD);
         }
     }
 
     /** No call starts here any more: no connection is kept. */
-    void keepNone() {
+    void disableConnectionReuse() {
         mostIdle = 0;
         peers.keySet().forEach(this::closeIdle);
     }
@@ -251,7 +251,7 @@
     }
 
     /** Idle connections that are kept. */
-    int kept() {
+    int idleConnections() {
         return idle;
     }
 
@@ -276,7 +276,7 @@
         private int awaitingQuiet;
         /** How long it usually is from the end of an exchange to the next one, as far as seen. */
         private double usualGapNanos;
-        private OptionalLong endedAt = OptionalLong.empty();
+        private OptionalLong lastEndNanos = OptionalLong.empty();
 
         Peer(long endpoint) {
             this.endpoint = endpoint;
@@ -288,11 +288,11 @@
         }
 
         void exchangeBegins() {
-            endedAt.ifPresent(at -> usualGapNanos += GAP_WEIGHT * (nanos.getAsLong() - at - usualGapNanos));
+            lastEndNanos.ifPresent(end -> usualGapNanos += GAP_WEIGHT * (nanos.getAsLong() - end - usualGapNanos));
         }
 
         void exchangeEnds() {
-            endedAt = OptionalLong.of(nanos.getAsLong());
+            lastEndNanos = OptionalLong.of(nanos.getAsLong());
         }
 
         /** Whether a connection may idle at all: in a full table not for a call that usually comes too late for it. */
@@ -412,7 +412,7 @@
                 held.endRead = true;
                 if (done) {
                     boolean delivered = result.outcome() == Outcome.DELIVERED;
-                    loop.execute(() -> ends.overAfterEnd(this, delivered));
+                    loop.execute(() -> ends.messageEndedAfterCall(this, delivered));
                 }
             }
             end(result, waitMs, Optional.empty());
@@ -481,14 +481,14 @@
             if (nobodyWaits()) {
                 return;
             }
-            Optional<Connection> kept = peer.takeQuiet();
-            if (kept.isPresent()) {
+            Optional<Connection> reusable = peer.takeQuiet();
+            if (reusable.isPresent()) {
                 peer.exchangeBegins();
-                write(kept.get());
+                write(reusable.get());
             } else if (!peer.awaitQuiet(() -> startOnceAllIsRead(this))) {
                 peer.exchangeBegins();
                 dial = bootstrap.connect(peer.address);
-                Connects.whenDone(loop, dial, this::connected);
+                EventLoopListeners.whenDone(loop, dial, this::connected);
             }
         }
 
@@ -519,7 +519,7 @@
         /** While it came up the list may have changed, and what forbids the call may have arrived. */
         private void connected(Connection fresh) {
             fresh.peer = peer;
-            ends.whenListIsCurrent(() -> inputBarrier.whenRead(() -> startOn(fresh)));
+            ends.runWhenListIsCurrent(() -> inputBarrier.whenRead(() -> startOn(fresh)));
         }
 
         /** One that speaks before it is asked is of no use: what it says later can't be told from an answer. */
--- a/src/main/java/starlingvalve/net/Connects.java
+++ b/src/main/java/starlingvalve/net/EventLoopListeners.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /** What follows a connect, or a bind. */
-final class Connects {
-    private Connects() {
+final class EventLoopListeners {
+    private EventLoopListeners() {
     }
 
     /**
--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -113,7 +113,7 @@
                     }
                 })
                 .bind(UnixDomainSocketAddress.of(path));
-        Connects.whenDone(loop, bound, this::listens);
+        EventLoopListeners.whenDone(loop, bound, this::listens);
     }
 
     private void listens(ChannelFuture bound) {
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -646,7 +646,7 @@
         }
 
         @Override
-        public void whenListIsCurrent(Runnable task) {
+        public void runWhenListIsCurrent(Runnable task) {
             if (listLease.isValid()) {
                 task.run();
             } else {
@@ -683,7 +683,7 @@
             if (outcome != DeliveryPolicy.Outcome.DELIVERED) {
                 logUndelivered(call, outcome, gone, waitMs, took);
             }
-            boolean confirm = call.report().wasPartlyLeft();
+            boolean confirm = call.report().wasPartlyAbandoned();
             Runnable here = () -> attemptEnded(call.held, call.attempt, outcome, gone, confirm, waitMs, took, open);
             if (handover.leaving()) {
                 ObjectNode line = HandoverConnection.line("ended").put("message", call.held.number)
@@ -696,10 +696,10 @@
         }
 
         @Override
-        public void overAfterEnd(Endpoints.Call call, boolean delivered) {
+        public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
             events.add("over-after-end", "id", call.held.id, "attempt", call.attempt, "endpoint",
                     call.held.attempts.get(call.attempt).endpoint, "delivered", delivered);
-            Runnable here = () -> Sender.this.overAfterEnd(call.held, delivered);
+            Runnable here = () -> Sender.this.messageEndedAfterCall(call.held, delivered);
             if (handover.leaving()) {
                 handover.tell(HandoverConnection.line("over").put("message", call.held.number)
                         .put("delivered", delivered), here);
@@ -791,7 +791,7 @@
     }
 
     /** An answer tells that a message is over whose attempt had ended otherwise before: it had left its call. */
-    private void overAfterEnd(AcceptedMessage held, boolean delivered) {
+    private void messageEndedAfterCall(AcceptedMessage held, boolean delivered) {
         if (delivered) {
             confirm(held);
         } else if (!held.over) {
@@ -841,7 +841,7 @@
             if (e.address() == null) {
                 endpoints.closeIdle(number);
             } else {
-                endpoints.at(number, e.address(), e.serving(), kind,
+                endpoints.updateEndpoint(number, e.address(), e.serving(), kind,
                         kinds.get(Math.min(kind, kinds.size() - 1)).batch());
             }
             list.add(new DeliveryPolicy.Endpoint(number, e.destination(), kind,
@@ -1102,7 +1102,7 @@
             logHandover("FREEZING");
             frozen = true;
             // What is not written yet is the new process's to send; these ends come before what follows.
-            new ArrayList<>(calls.values()).forEach(call -> event(() -> endpoints.callOffUnsent(call)));
+            new ArrayList<>(calls.values()).forEach(call -> event(() -> endpoints.cancelUnsent(call)));
             loop.execute(() -> {
                 event(() -> relay.handingOver(openTurn(), HANDOVER_PAUSE_MS));
                 notices.pause();
@@ -1166,7 +1166,7 @@
             discovery.stop();
             listLease.stop();
             intake.leave();
-            endpoints.keepNone();
+            endpoints.disableConnectionReuse();
             Log.line("the new version owns all; " + calls.size() + " calls are still out here");
         }
 
@@ -1214,7 +1214,7 @@
                 then.run();
                 return;
             }
-            Connects.whenDone(loop, intake.listen(config.listen()), bound -> {
+            EventLoopListeners.whenDone(loop, intake.listen(config.listen()), bound -> {
                 if (bound.isSuccess()) {
                     listening = true;
                     then.run();
@@ -1287,7 +1287,7 @@
                 case "wait" -> event(() -> relay.waitTold(openTurn(), line.path("endpoint").asLong(),
                         line.path("waitMs").asDouble()));
                 case "over" -> inherited.held(message).ifPresent(
-                        held -> overAfterEnd(held, line.path("delivered").asBoolean()));
+                        held -> messageEndedAfterCall(held, line.path("delivered").asBoolean()));
                 case "closed" -> closed(message);
                 case "answered" -> answered(message, line.path("heard").asBoolean());
                 case "submit" -> submit(line);
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -169,7 +169,7 @@
                     }
                 })
                 .connect(UnixDomainSocketAddress.of(socket));
-        Connects.whenDone(loop, connect, done -> {
+        EventLoopListeners.whenDone(loop, connect, done -> {
             if (done.isSuccess()) {
                 link = mine[0];
                 patience = loop.schedule(link::close, SILENT_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/starlingvalve/net/EndpointClient.java
+++ b/src/test/java/starlingvalve/net/EndpointClient.java
@@ -38,7 +38,7 @@
         this.loop = loop;
         this.endpoints = new Endpoints(loop, 1000, 15_000, 1, 4, this);
         inLoop(() -> {
-            endpoints.at(ENDPOINT, address, true, 0, BATCH);
+            endpoints.updateEndpoint(ENDPOINT, address, true, 0, BATCH);
             return null;
         });
     }
@@ -87,7 +87,7 @@
 
     void stop() {
         inLoop(() -> {
-            endpoints.keepNone();
+            endpoints.disableConnectionReuse();
             return null;
         });
     }
--- a/src/test/java/starlingvalve/net/EndpointListWaitTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListWaitTest.java
@@ -38,7 +38,7 @@
         server = new StubServer(StubServer.status(200, ""));
         endpoints = new Endpoints(loop, 1000, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
             @Override
-            public void whenListIsCurrent(Runnable task) {
+            public void runWhenListIsCurrent(Runnable task) {
                 waiting.add(task);
             }
 
@@ -59,7 +59,7 @@
             }
         });
         inLoop(() -> {
-            endpoints.at(ENDPOINT, server.address(), true, 0, 1);
+            endpoints.updateEndpoint(ENDPOINT, server.address(), true, 0, 1);
             return null;
         });
     }
@@ -116,7 +116,7 @@
         goOn(task);
         assertEquals(Outcome.NOT_SENT, end());
         assertEquals(List.of(), server.requests);
-        assertEquals(1, inLoop(endpoints::kept), "the connection serves the next call");
+        assertEquals(1, inLoop(endpoints::idleConnections), "the connection serves the next call");
     }
 
     @Test
@@ -125,7 +125,7 @@
         Outcome outcome = end();
         assertEquals(false, outcome.mayHaveRun(), "surely not sent: " + outcome);
         goOn(task);
-        StubServer.await("the connection is kept", () -> inLoop(endpoints::kept) == 1);
+        StubServer.await("the connection is kept", () -> inLoop(endpoints::idleConnections) == 1);
         assertEquals(List.of(), server.requests);
     }
 
--- a/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
+++ b/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
@@ -75,7 +75,7 @@
             server.setReceiveBufferSize(4096);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
-            loop.submit(() -> endpoints.at(ENDPOINT, address, true, 0, 2)).sync();
+            loop.submit(() -> endpoints.updateEndpoint(ENDPOINT, address, true, 0, 2)).sync();
             int stuck = 0;
             Socket socket = null;
             while (startIsWrittenWhole(endpoints, stuck)) {
@@ -125,9 +125,9 @@
             String text = new String(buffer, 0, n, StandardCharsets.ISO_8859_1);
             if (bodyLeft < 0) {
                 tail.append(text);
-                int at = tail.indexOf(line);
-                if (at >= 0) {
-                    bodyLeft = BODY_LENGTH - (tail.length() - tail.indexOf("\r\n", at) - 2);
+                int lineStart = tail.indexOf(line);
+                if (lineStart >= 0) {
+                    bodyLeft = BODY_LENGTH - (tail.length() - tail.indexOf("\r\n", lineStart) - 2);
                 } else {
                     tail.delete(0, Math.max(0, tail.length() - line.length() - 64));
                 }
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public void whenListIsCurrent(Runnable task) {
+        public void runWhenListIsCurrent(Runnable task) {
             whenListNeeded.run();
             task.run();
         }
@@ -103,7 +103,7 @@
         }
 
         @Override
-        public void overAfterEnd(Endpoints.Call call, boolean delivered) {
+        public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
             over.add(call.held.id + " " + delivered);
         }
 
@@ -117,7 +117,7 @@
     void open() throws Exception {
         stub = new StubServer(StubServer.status(200, ""));
         endpoints = new Endpoints(loop, 1000, 15_000, SENDERS, 4, told);
-        at(stub.address());
+        updateEndpoint(stub.address());
     }
 
     @AfterEach
@@ -126,8 +126,8 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private void at(InetSocketAddress address) {
-        loop.submit(() -> endpoints.at(1, address, true, 2, 3)).syncUninterruptibly();
+    private void updateEndpoint(InetSocketAddress address) {
+        loop.submit(() -> endpoints.updateEndpoint(1, address, true, 2, 3)).syncUninterruptibly();
     }
 
     private Endpoints.Call start(byte[] body, double timeoutMs) throws Exception {
@@ -216,7 +216,7 @@
         ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         InetSocketAddress address = (InetSocketAddress) unused.getLocalSocketAddress();
         unused.close();
-        at(address);
+        updateEndpoint(address);
         start(new byte[1], LONG_MS);
         assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
     }
@@ -233,7 +233,7 @@
                     queue.add(new Socket(address.getAddress(), address.getPort()));
                 }
                 endpoints = new Endpoints(loop, System::nanoTime, NotedChannel::new, LONG_MS, 15_000, SENDERS, 4, told);
-                at(address);
+                updateEndpoint(address);
                 start(new byte[1], 50);
                 assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
                 assertTrue(dialled.poll(30, TimeUnit.SECONDS).closeFuture().await(5, TimeUnit.SECONDS), "closed");
@@ -254,7 +254,7 @@
     @Test
     void aConnectionThatBreaksBeforeTheLastByteIsUnreachable() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            at((InetSocketAddress) full.getLocalSocketAddress());
+            updateEndpoint((InetSocketAddress) full.getLocalSocketAddress());
             start(new byte[64 << 20], LONG_MS);
             try (Socket socket = full.accept()) {
                 socket.getInputStream().read();
@@ -480,12 +480,12 @@
     void bytesOnARestingConnectionMakeItUnusable() throws Exception {
         // The clock stands, so nothing is closed for its age.
         endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, told);
-        at(stub.address());
+        updateEndpoint(stub.address());
         for (String stray : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "\r\n", "x")) {
             expect(Outcome.DELIVERED, this::deliveredAndNoted);
             awaitKept();
             StubServer.write(sides.get(sides.size() - 1), stray);
-            StubServer.await("its connection is closed", () -> kept() == 0);
+            StubServer.await("its connection is closed", () -> idleConnections() == 0);
             expect(Outcome.DELIVERED, StubServer.status(200, ""));
             awaitKept();
             closeKept();
@@ -528,7 +528,7 @@
     @Test
     void bytesBeforeTheLastByteOfTheRequestProveNothing() throws Exception {
         try (ServerSocket early = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            at((InetSocketAddress) early.getLocalSocketAddress());
+            updateEndpoint((InetSocketAddress) early.getLocalSocketAddress());
             start(new byte[64 << 20], LONG_MS);
             try (Socket socket = early.accept()) {
                 socket.getInputStream().read();
@@ -554,7 +554,7 @@
     @Test
     void aCallWhoseTimeIsUpBeforeTheRequestIsOutMayStillRunWithTheOthers() throws Exception {
         endpoints = new Endpoints(loop, System::nanoTime, SlowChannel::new, 1000, 15_000, SENDERS, 4, told);
-        at(stub.address());
+        updateEndpoint(stub.address());
         slow = true;
         AcceptedMessage other =
                 new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[1]);
@@ -576,7 +576,7 @@
     @Test
     void aCallWhoseTimeIsUpBeforeItsRequestIsOutNeverRan() throws Exception {
         endpoints = new Endpoints(loop, System::nanoTime, SlowChannel::new, 1000, 15_000, SENDERS, 4, told);
-        at(stub.address());
+        updateEndpoint(stub.address());
         slow = true;
         start(new byte[1], 50);
         assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
@@ -620,10 +620,10 @@
             StubServer.status(200, "").come(request, socket);
             socket.close();
         });
-        StubServer.await("the close is noticed", () -> kept() == 0);
+        StubServer.await("the close is noticed", () -> idleConnections() == 0);
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         expect(Outcome.DELIVERED, StubServer.status(200, "Connection: close\r\n"));
-        StubServer.await("the announced close is kept", () -> kept() == 0);
+        StubServer.await("the announced close is kept", () -> idleConnections() == 0);
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
     }
 
@@ -716,7 +716,7 @@
         assertEquals(new End(Outcome.BROKEN, false, 0), end());
         beforeWrite = () -> { };
         assertEquals(1, stub.requests.size(), "the endpoint never read it");
-        assertEquals(0, kept());
+        assertEquals(0, idleConnections());
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
         assertTrue(ends.isEmpty());
@@ -766,8 +766,8 @@
     void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
-        loop.submit(() -> endpoints.at(1, stub.address(), false, 2, 3)).syncUninterruptibly();
-        assertEquals(0, kept());
+        loop.submit(() -> endpoints.updateEndpoint(1, stub.address(), false, 2, 3)).syncUninterruptibly();
+        assertEquals(0, idleConnections());
     }
 
     /** Seen on calm+mass: idle connections of a few of 60 senders kept all others out for the whole day. */
@@ -777,26 +777,26 @@
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(List.of(0, 1, 2), stub.requests.stream().map(StubServer.Message::connection).toList());
-        StubServer.await("the idle connection is closed", () -> kept() == 0);
+        StubServer.await("the idle connection is closed", () -> idleConnections() == 0);
     }
 
     /** Seen on herd+mass: the next call came a second later, and idling was nearly half of the time in the table. */
     @Test
     void whereTablesAreFullNoConnectionIdlesForACallThatUsuallyComesLater() throws Exception {
         endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, told);
-        at(stub.address());
+        updateEndpoint(stub.address());
         expect(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        assertEquals(1, kept(), "nothing speaks against it yet");
+        assertEquals(1, idleConnections(), "nothing speaks against it yet");
         for (int call = 0; call < 2; call++) {
             nanos.addAndGet(TimeUnit.SECONDS.toNanos(20));
             expect(Outcome.DELIVERED, StubServer.status(200, ""));
         }
-        assertEquals(0, kept(), "the next call would come after the 6 s that it may idle");
+        assertEquals(0, idleConnections(), "the next call would come after the 6 s that it may idle");
         for (int call = 0; call < 3; call++) {
             expect(Outcome.DELIVERED, StubServer.status(200, ""));
         }
-        assertEquals(1, kept(), "calls follow each other closely again");
+        assertEquals(1, idleConnections(), "calls follow each other closely again");
     }
 
     /** A refusal on a kept connection, or one that leaves a new one open, tells nothing of the table. */
@@ -816,10 +816,10 @@
     }
 
     private void awaitKept() throws Exception {
-        StubServer.await("the connection is kept", () -> kept() == 1);
+        StubServer.await("the connection is kept", () -> idleConnections() == 1);
     }
 
-    private int kept() {
-        return loop.submit(() -> endpoints.kept()).syncUninterruptibly().getNow();
+    private int idleConnections() {
+        return loop.submit(() -> endpoints.idleConnections()).syncUninterruptibly().getNow();
     }
 }
--- a/src/test/java/starlingvalve/net/MessageEndTest.java
+++ b/src/test/java/starlingvalve/net/MessageEndTest.java
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public void overAfterEnd(Endpoints.Call call, boolean delivered) {
+        public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
             told.add(new Told.OverAfterEnd(call.held.id, call.attempt, delivered));
         }
 
@@ -81,8 +81,8 @@
     private void open(ChannelFactory<UnreadInputChannel> channels, InetSocketAddress firstAddress) {
         endpoints = new Endpoints(loop, System::nanoTime, channels, 1000, 15_000, 1, 4, ends);
         inLoop(() -> {
-            endpoints.at(FIRST, firstAddress, true, 0, 3);
-            endpoints.at(SECOND, second.address(), true, 0, 3);
+            endpoints.updateEndpoint(FIRST, firstAddress, true, 0, 3);
+            endpoints.updateEndpoint(SECOND, second.address(), true, 0, 3);
             return null;
         });
     }
--- a/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
+++ b/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void overAfterEnd(Endpoints.Call call, boolean delivered) {
+    public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
         // Not looked at.
     }
 
--- a/src/test/java/starlingvalve/net/ToldWaitOrderTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
@@ -27,7 +27,7 @@
  * An answer that tells a wait arrives while another call is about to go out. What has arrived before a call is
  * written has to be read before it, however long the event loop is held up in between.
  */
-class ToldWaitOrderTest {
+class RetryAfterOrderTest {
     private static final long TELLS = 1;
     private static final long OTHER = 2;
     private static final double DIAL_MS = 15_000;
@@ -78,7 +78,7 @@
                 ended.add(new End(call.held.id, outcome));
             }
         });
-        at(TELLS, teller.address());
+        updateEndpoint(TELLS, teller.address());
     }
 
     @AfterEach
@@ -88,8 +88,8 @@
         teller.close();
     }
 
-    private void at(long endpoint, InetSocketAddress address) {
-        loop.submit(() -> endpoints.at(endpoint, address, true, 0, 1)).syncUninterruptibly();
+    private void updateEndpoint(long endpoint, InetSocketAddress address) {
+        loop.submit(() -> endpoints.updateEndpoint(endpoint, address, true, 0, 1)).syncUninterruptibly();
     }
 
     private void call(String id, long endpoint) {
@@ -129,7 +129,7 @@
     void aCallWhoseConnectionComesUpJustBeforeIsHeldBack() throws Exception {
         Socket out = callThatIsOut();
         try (FullListener listener = new FullListener()) {
-            at(OTHER, listener.address());
+            updateEndpoint(OTHER, listener.address());
             int askedBefore = loop.submit(() -> askedToStart).get();
             loop.submit(() -> call("other", OTHER)).sync();
             StubServer.await("the connection is being made",
@@ -146,7 +146,7 @@
     @Test
     void aCallOnAKeptConnectionThatIsHeldUpBeforeItsFirstByteIsHeldBack() throws Exception {
         try (StubServer other = new StubServer(StubServer.status(200, ""))) {
-            at(OTHER, other.address());
+            updateEndpoint(OTHER, other.address());
             loop.submit(() -> call("first", OTHER)).sync();
             assertEquals(new End("first", Outcome.DELIVERED), ended.poll(30, TimeUnit.SECONDS));
             Socket out = callThatIsOut();
