--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -45,59 +45,72 @@
 import starlingvalve.net.AttemptOutcomes.Interruption;
 
 /**
- * Calls to endpoints and the connections that they go over: one exchange each, kept for the next, the newest
- * idle one first. The calls of one turn to one endpoint share an exchange, as far as its kind allows. Each
- * call gets one end, never during {@link #call}, {@link #flush} or {@link #cancel}.
+ * Sends calls to endpoints and pools the connections to them. A connection carries one exchange (request and answer)
+ * at a time and is then reused, the most recently idle one first. A turn is a group of events that are handled together
+ * before anything is sent; the calls of one turn to one endpoint share an exchange, up to the batch size of its kind.
+ * Each call ends exactly once, and {@link Callbacks#ended} never runs during {@link #call}, {@link #flush} or
+ * {@link #cancel}. All methods run on the event loop.
  */
 final class Endpoints {
-    /** Idle connections are dropped at this share of the time after which an endpoint drops them. */
-    private static final double IDLE_SHARE = 0.8;
-    private static final long SWEEP_MS = 500;
-    /** Weight of a new gap between exchanges in the usual one. */
+    /** Idle connections are closed after this share of the time after which the endpoint closes them itself. */
+    private static final double KEEP_ALIVE_SHARE = 0.8;
+    private static final long SWEEP_INTERVAL_MS = 500;
+    /** Weight of the newest gap between two exchanges in the moving average of these gaps. */
     private static final double GAP_WEIGHT = 0.25;
-    /** Bytes that came so shortly ago are taken for a part of an answer of which more has come. */
-    private static final long READ_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-    /** A time-out waits for the rest of such an answer for so long at most. */
-    private static final long READ_ON_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-    /** Longest body of a request, and of an answer that is read: the protocol's bound for both. */
-    private static final int LONGEST_BODY = 64 * 1024;
-
+    /** If bytes of an answer were read within this time, more of it is assumed to have arrived. */
+    private static final long MAX_READ_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    /** A time-out is put off for at most this time while such an answer is read. */
+    private static final long MAX_READ_EXTENSION_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    /** Longest body of a request, and of an answer that is read: the protocol's limit for both. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+
+    /** Decisions and events that the owner of the calls provides and receives; called on the event loop. */
     interface Callbacks {
-        /** Whether a call may still go out, by all that is known now. */
+        /** Whether a call may still be sent, by all that is known now. */
         boolean mayStart(Call call);
 
-        /** Runs a task once calls may go out by the list of endpoints: at once if they may now. */
+        /** Runs a task once the list of endpoints is current enough to send calls by it: immediately if it is now. */
         default void runWhenListIsCurrent(Runnable task) {
             task.run();
         }
 
-        /** Its first byte is about to be written: whether it may be. */
+        /** Called right before the first byte of a call is written; returns whether the call may be written. */
         boolean begins(Call call);
 
         /**
-         * Told of the end of each call. {@code gone}: the message is over, whatever else is true; {@code open}:
-         * its exchange is still out for other calls.
+         * Called once for each call, when it has ended.
+         *
+         * @param messageEnded whether the answer says that the message has ended, whatever else is known of it
+         * @param retryAfterMs the Retry-After of the answer in milliseconds; 0 if there is none
+         * @param exchangeOpen whether the exchange of the call is still in flight for other calls
          */
-        void ended(Call call, Outcome outcome, boolean gone, double waitMs, boolean open);
+        void ended(Call call, Outcome outcome, boolean messageEnded, double retryAfterMs, boolean exchangeOpen);
 
-        /** An answer tells a wait, which runs from now on; told with its head, and again once it is whole. */
-        void waitTold(long endpoint, double waitMs);
+        /**
+         * An answer carries a Retry-After, which counts from now on; called when its head is read, and again once the
+         * answer is complete.
+         */
+        void waitTold(long endpoint, double retryAfterMs);
 
-        /** So many messages were written whole to an endpoint. */
+        /** Called when a request has been written completely; {@code messages}: how many messages it carries. */
         void written(int messages);
 
         /**
-         * The answer tells that the message of a call is over, after another end of that call was told: it had left its
-         * exchange, which others still waited for. {@code delivered}: by this call.
+         * An answer says that the message of a call has ended, after {@link #ended} reported another end of that call:
+         * the call had timed out or been cancelled while other calls still waited for the exchange.
+         *
+         * @param delivered whether this call delivered the message
          */
         void messageEndedAfterCall(Call call, boolean delivered);
 
-        /** The exchange of a call that ended while it was open is over. */
+        /** The exchange of a call has ended; only for a call that ended while its exchange was open. */
         void closed(Call call);
 
         /**
-         * A connection to an endpoint has ended; {@code underRequest}: with a request on it that was not answered.
-         * {@code cause}: what the system said, or nothing.
+         * A connection to an endpoint has closed.
+         *
+         * @param underRequest whether it carried a request that was not answered
+         * @param cause the message of the I/O error; empty if there was none
          */
         default void connectionClosed(long endpoint, CloseReason reason, boolean underRequest, String cause,
                 ConnectionUse use) {
@@ -105,90 +118,100 @@
     }
 
     /**
-     * What a connection was used for until its end.
+     * How a connection was used until it closed.
      *
-     * @param exchanges how many calls it carried
-     * @param surplusBytes how many bytes came over it that belong to no answer
-     * @param quietMs how long before its end the last answer came; negative if there was none
+     * @param exchanges number of requests that it carried
+     * @param surplusBytes number of received bytes that belong to no answer
+     * @param quietMs time from the last complete answer to the close; negative if there was no answer
      */
     record ConnectionUse(int exchanges, long surplusBytes, long quietMs) {
     }
 
-    /** Why a connection to an endpoint ended. */
+    /** Why a connection to an endpoint closed. The names are written to the event log. */
     enum CloseReason {
-        /** The endpoint, or the network, ended it. */
+        /** The endpoint or the network closed it. */
         PEER,
-        /** It was idle for too long. */
+        /** It was idle for longer than allowed. */
         IDLE,
-        /** No more connections may idle, or none to this endpoint. */
+        /** The limit of idle connections is reached, or none may be idle to this endpoint. */
         NOT_KEPT,
-        /** The endpoint announced its close. */
+        /** The endpoint announced the close in its answer. */
         NOT_KEPT_ALIVE,
-        /** Bytes or its end had come before it was asked anything. */
+        /** Bytes or the end of the stream arrived before a request was sent. */
         UNUSABLE,
-        /** Bytes came that belong to no answer. */
+        /** Bytes arrived that belong to no answer. */
         STRAY_INPUT,
-        /** The answer can't be read. */
+        /** The answer can't be parsed, or its body is too long. */
         UNREADABLE_ANSWER,
-        /** Nobody waits for its answer any more. */
+        /** No call waits for its answer any more. */
         NOT_AWAITED,
         /** The request could not be written. */
         WRITE_FAILED,
-        /** Idle connections to the endpoint were given up: it moved, drains, is gone, or is not trusted. */
+        /** Idle connections to the endpoint were closed: it moved, drains, left the list, or is not trusted. */
         GIVEN_UP
     }
 
     private final EventLoop loop;
     private final LongSupplier nanos;
-    private final Callbacks ends;
+    private final Callbacks callbacks;
     private final InputBarrier inputBarrier;
     private final Bootstrap bootstrap;
-    private final long idleNanos;
-    /** The same at kinds with small connection tables: all senders together may idle as long as one elsewhere. */
-    private final long crowdedNanos;
-    /** Kinds of endpoint that were seen to turn a new connection away, as their table was full. */
-    private final Set<Integer> crowded = new HashSet<>();
-    private int mostIdle;
+    private final long maxIdleNanos;
+    /**
+     * The idle time at kinds in {@link #crowdedKinds}: the connections of all senders together may be idle for as long
+     * there as those of one sender elsewhere.
+     */
+    private final long crowdedIdleNanos;
+    /** Kinds of endpoint that have refused a new connection because their connection table was full. */
+    private final Set<Integer> crowdedKinds = new HashSet<>();
+    private int maxIdleConnections;
     private final Map<Long, Peer> peers = new HashMap<>();
-    /** What this turn has asked for so far. */
-    private final List<Exchange> gathered = new ArrayList<>();
-    private int idle;
+    /** Exchanges of the calls that were requested in this turn so far; {@link #flush} starts them. */
+    private final List<Exchange> pendingExchanges = new ArrayList<>();
+    private int idleCount;
 
-    Endpoints(EventLoop loop, double dialMs, double keepAliveMs, int senders, int mostIdle, Callbacks ends) {
-        this(loop, System::nanoTime, dialMs, keepAliveMs, senders, mostIdle, ends);
+    /**
+     * Creates the pool, without connections.
+     *
+     * @param keepAliveMs time after which an endpoint closes an idle connection
+     * @param senders number of senders that share the endpoints
+     */
+    Endpoints(EventLoop loop, double dialTimeoutMs, double keepAliveMs, int senders, int maxIdleConnections,
+            Callbacks callbacks) {
+        this(loop, System::nanoTime, dialTimeoutMs, keepAliveMs, senders, maxIdleConnections, callbacks);
     }
 
-    /** With a clock of its own for how long connections idle. */
-    Endpoints(EventLoop loop, LongSupplier nanos, double dialMs, double keepAliveMs, int senders, int mostIdle,
-            Callbacks ends) {
-        this(loop, nanos, UnreadInputChannel::new, dialMs, keepAliveMs, senders, mostIdle, ends);
+    /** With a given clock for the idle time of connections. */
+    Endpoints(EventLoop loop, LongSupplier nanos, double dialTimeoutMs, double keepAliveMs, int senders,
+            int maxIdleConnections, Callbacks callbacks) {
+        this(loop, nanos, UnreadInputChannel::new, dialTimeoutMs, keepAliveMs, senders, maxIdleConnections, callbacks);
     }
 
-    /** With channels of its own, for tests. */
-    Endpoints(EventLoop loop, LongSupplier nanos, ChannelFactory<UnreadInputChannel> channels, double dialMs,
-            double keepAliveMs, int senders, int mostIdle, Callbacks ends) {
+    /** With a given channel factory, for tests. */
+    Endpoints(EventLoop loop, LongSupplier nanos, ChannelFactory<UnreadInputChannel> channels, double dialTimeoutMs,
+            double keepAliveMs, int senders, int maxIdleConnections, Callbacks callbacks) {
         this.loop = loop;
         this.nanos = nanos;
-        this.ends = ends;
+        this.callbacks = callbacks;
         this.inputBarrier = new InputBarrier(loop, System::nanoTime);
-        this.idleNanos = (long) (keepAliveMs * IDLE_SHARE * 1e6);
-        this.crowdedNanos = idleNanos / Math.max(1, senders);
-        this.mostIdle = mostIdle;
+        this.maxIdleNanos = (long) (keepAliveMs * KEEP_ALIVE_SHARE * 1e6);
+        this.crowdedIdleNanos = maxIdleNanos / Math.max(1, senders);
+        this.maxIdleConnections = maxIdleConnections;
         this.bootstrap = new Bootstrap().group(loop).channelFactory(channels)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(dialMs))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(dialTimeoutMs))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         new Connection().addTo(channel.pipeline());
                     }
                 });
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::sweep, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * An endpoint of this kind is at this address from now on, and takes so many messages in one exchange;
-     * connections to another address are of no more use.
+     * Sets the address and kind of an endpoint, and how many messages it accepts in one exchange. Its idle connections
+     * are closed if the address changes or the endpoint stops serving.
      */
     void updateEndpoint(long endpoint, InetSocketAddress address, boolean serving, int kind, int batch) {
         Peer peer = peers.computeIfAbsent(endpoint, Peer::new);
@@ -200,117 +223,126 @@
         peer.batch = batch;
     }
 
-    /** Starts a call, with the next {@link #flush}; its end is told once, within the time-out or soon after. */
+    /**
+     * Creates a call that the next {@link #flush} starts; {@link Callbacks#ended} reports its end once, within the
+     * time-out or soon after.
+     */
     Call call(AcceptedMessage held, int attempt, long endpoint, double timeoutMs) {
         Peer peer = peers.get(endpoint);
         Call call = new Call(held, attempt, timeoutMs);
-        if (peer.gathering == null || !peer.gathering.hasRoom(call)) {
-            peer.gathering = new Exchange(peer);
-            gathered.add(peer.gathering);
+        if (peer.pendingExchange == null || !peer.pendingExchange.hasRoom(call)) {
+            peer.pendingExchange = new Exchange(peer);
+            pendingExchanges.add(peer.pendingExchange);
         }
-        peer.gathering.add(call);
+        peer.pendingExchange.add(call);
         return call;
     }
 
-    /** The turn is over: what it asked for goes out, unless something that has arrived by now forbids it. */
+    /** Ends the turn: starts its exchanges, except for calls that input which has arrived by now forbids. */
     void flush() {
-        for (Exchange exchange : gathered) {
-            exchange.peer.gathering = null;
-            startOnceAllIsRead(exchange);
+        for (Exchange exchange : pendingExchanges) {
+            exchange.peer.pendingExchange = null;
+            startAfterPendingInput(exchange);
         }
-        gathered.clear();
+        pendingExchanges.clear();
     }
 
-    private void startOnceAllIsRead(Exchange exchange) {
-        inputBarrier.whenRead(() -> ends.runWhenListIsCurrent(exchange::start));
+    private void startAfterPendingInput(Exchange exchange) {
+        inputBarrier.whenRead(() -> callbacks.runWhenListIsCurrent(exchange::start));
     }
 
-    /** Stops waiting for a call; its connection is closed when nothing else is waited for on it. */
+    /** Stops waiting for a call; its connection is closed when no other call waits on it. */
     void cancel(Call call) {
-        call.leave(Interruption.CANCELLED);
+        call.abandon(Interruption.CANCELLED);
     }
 
-    /** Ends a call of which nothing is written yet, as not sent: its connection is still coming up. */
+    /** Ends a call as not sent if its exchange has no connection yet, so that nothing of it is written. */
     void cancelUnsent(Call call) {
         if (call.exchange.connection == null) {
-            call.leave(Interruption.WITHHELD);
+            call.abandon(Interruption.WITHHELD);
         }
     }
 
-    /** No call starts here any more: no connection is kept. */
+    /** Closes idle connections and keeps none from now on, as this process starts no more calls. */
     void disableConnectionReuse() {
-        mostIdle = 0;
+        maxIdleConnections = 0;
         peers.keySet().forEach(this::closeIdle);
     }
 
+    /** Closes the idle connections to an endpoint. */
     void closeIdle(long endpoint) {
         Peer peer = peers.get(endpoint);
         if (peer != null) {
-            new ArrayList<>(peer.idle).forEach(connection -> connection.close(CloseReason.GIVEN_UP));
+            new ArrayList<>(peer.idleConnections).forEach(connection -> connection.close(CloseReason.GIVEN_UP));
         }
     }
 
-    /** Idle connections that are kept. */
+    /** Number of idle connections. */
     int idleConnections() {
-        return idle;
+        return idleCount;
     }
 
-    /** Closes what an endpoint would soon close itself: a call that crosses its close would be lost. */
+    /** Closes what the endpoint would soon close itself, as a request that crosses that close is lost. */
     private void sweep() {
         long now = nanos.getAsLong();
         for (Peer peer : peers.values()) {
-            List<Connection> old = peer.idle.stream().filter(c -> now - c.idleSince > peer.idleNanos()).toList();
-            old.forEach(connection -> connection.close(CloseReason.IDLE));
+            List<Connection> expired = peer.idleConnections.stream()
+                    .filter(c -> now - c.idleSinceNanos > peer.maxIdleNanos()).toList();
+            expired.forEach(connection -> connection.close(CloseReason.IDLE));
         }
     }
 
+    /** One endpoint: its address, its idle connections and how often exchanges with it start. */
     private final class Peer {
         final long endpoint;
         InetSocketAddress address;
         int kind;
         int batch;
-        /** What this turn sends here, as long as it has room. */
-        Exchange gathering;
-        final Deque<Connection> idle = new ArrayDeque<>();
-        /** Exchanges that wait for an idle connection to have been quiet for long enough. */
-        private int awaitingQuiet;
-        /** How long it usually is from the end of an exchange to the next one, as far as seen. */
-        private double usualGapNanos;
+        /** The exchange of this turn that further calls may still join. */
+        Exchange pendingExchange;
+        final Deque<Connection> idleConnections = new ArrayDeque<>();
+        /** Number of exchanges that wait for the {@link QuietPeriod} of an idle connection to end. */
+        private int exchangesAwaitingQuiet;
+        /** Moving average of the time from the end of an exchange to the start of the next one. */
+        private double averageGapNanos;
         private OptionalLong lastEndNanos = OptionalLong.empty();
 
         Peer(long endpoint) {
             this.endpoint = endpoint;
         }
 
-        /** How long a connection may idle here. */
-        long idleNanos() {
-            return crowded.contains(kind) ? crowdedNanos : idleNanos;
+        /** How long a connection to this endpoint may be idle. */
+        long maxIdleNanos() {
+            return crowdedKinds.contains(kind) ? crowdedIdleNanos : maxIdleNanos;
         }
 
-        void exchangeBegins() {
-            lastEndNanos.ifPresent(end -> usualGapNanos += GAP_WEIGHT * (nanos.getAsLong() - end - usualGapNanos));
+        void recordExchangeStart() {
+            lastEndNanos.ifPresent(end -> averageGapNanos += GAP_WEIGHT * (nanos.getAsLong() - end - averageGapNanos));
         }
 
-        void exchangeEnds() {
+        void recordExchangeEnd() {
             lastEndNanos = OptionalLong.of(nanos.getAsLong());
         }
 
-        /** Whether a connection may idle at all: in a full table not for a call that usually comes too late for it. */
+        /**
+         * Whether a connection may be idle at all. Where connection tables are full it may not if the next exchange
+         * usually starts only after the idle time has passed.
+         */
         boolean mayIdle() {
-            return usualGapNanos <= idleNanos() || !crowded.contains(kind);
+            return averageGapNanos <= maxIdleNanos() || !crowdedKinds.contains(kind);
         }
 
-        /** The newest idle connection that may carry another exchange now; nothing if there is none. */
-        Optional<Connection> takeQuiet() {
-            Iterator<Connection> newestFirst = idle.descendingIterator();
+        /** Takes the newest idle connection that can carry another exchange now; empty if there is none. */
+        Optional<Connection> takeReusable() {
+            Iterator<Connection> newestFirst = idleConnections.descendingIterator();
             while (newestFirst.hasNext()) {
                 Connection connection = newestFirst.next();
                 if (connection.quiet.remainingNanos() > 0) {
                     continue;
                 }
                 newestFirst.remove();
-                Endpoints.this.idle--;
-                if (connection.isUsable() && nanos.getAsLong() - connection.idleSince <= idleNanos()) {
+                Endpoints.this.idleCount--;
+                if (connection.isUsable() && nanos.getAsLong() - connection.idleSinceNanos <= maxIdleNanos()) {
                     return Optional.of(connection);
                 }
                 connection.close(CloseReason.UNUSABLE);
@@ -318,21 +350,24 @@
             return Optional.empty();
         }
 
-        /** Whether an idle connection will soon be quiet, and no other exchange waits for it; the task runs then. */
-        boolean awaitQuiet(Runnable task) {
-            if (idle.size() <= awaitingQuiet) {
+        /**
+         * Runs a task when the quiet period of an idle connection ends; returns false, and never runs it, if each idle
+         * connection has an exchange waiting for it already.
+         */
+        boolean runWhenQuiet(Runnable task) {
+            if (idleConnections.size() <= exchangesAwaitingQuiet) {
                 return false;
             }
-            awaitingQuiet++;
+            exchangesAwaitingQuiet++;
             loop.schedule(() -> {
-                awaitingQuiet--;
+                exchangesAwaitingQuiet--;
                 task.run();
-            }, idle.getLast().quiet.remainingNanos(), TimeUnit.NANOSECONDS);
+            }, idleConnections.getLast().quiet.remainingNanos(), TimeUnit.NANOSECONDS);
             return true;
         }
     }
 
-    /** One attempt of a message on its way. */
+    /** One attempt to deliver a message: its part in an exchange. */
     final class Call {
         final AcceptedMessage held;
         final int attempt;
@@ -340,15 +375,15 @@
         private final double timeoutMs;
         private final Future<?> timer;
         private Exchange exchange;
-        /** Its end is found. */
-        private boolean done;
-        /** It is recorded that its first byte may be out. */
+        /** Its outcome is decided and will be reported, or was. */
+        private boolean outcomeDecided;
+        /** {@link Callbacks#begins} has recorded that its first byte may have been sent. */
         private boolean begun;
-        /** Nobody waits for more of it: it has timed out or is cancelled. */
-        private boolean left;
-        /** Its end was told while its exchange was out. */
-        private boolean toldOpen;
-        /** Set with its end. */
+        /** No longer waited for: it has timed out, is cancelled, or was withheld. */
+        private boolean abandoned;
+        /** Its end was reported while its exchange was in flight; {@link Callbacks#closed} is still to be called. */
+        private boolean endedWhileOpen;
+        /** Set when the outcome is decided. */
         private AttemptReport report;
 
         private Call(AcceptedMessage held, int attempt, double timeoutMs) {
@@ -359,43 +394,47 @@
                     this::timedOut);
         }
 
-        /** Why it ended, once it has. */
+        /** Why it ended; null before. */
         AttemptReport report() {
             return report;
         }
 
-        /** How much longer it waits for its end. */
-        private long leftMs() {
+        /** The time until its time-out, at least 1 ms. */
+        private long remainingMs() {
             return Math.max(1, (long) (timeoutMs - (System.nanoTime() - startedNanos) / 1e6));
         }
 
-        private boolean begins() {
-            begun = begun || ends.begins(this);
+        /** Whether its first byte may be written; asks {@link Callbacks#begins} until that has allowed it once. */
+        private boolean mayBegin() {
+            begun = begun || callbacks.begins(this);
             return begun;
         }
 
-        /** An answer that is just being read, in however many reads, is read on for a moment. */
+        /**
+         * Times the call out, unless its answer is being read: then it waits for the next read, at most
+         * {@link #MAX_READ_EXTENSION_NANOS} past the time-out.
+         */
         private void timedOut() {
             long now = System.nanoTime();
-            boolean mayReadOn = now - startedNanos < timeoutMs * 1e6 + READ_ON_NANOS;
-            if (!left && mayReadOn && now - exchange.readAtNanos < READ_GAP_NANOS) {
+            boolean mayExtend = now - startedNanos < timeoutMs * 1e6 + MAX_READ_EXTENSION_NANOS;
+            if (!abandoned && mayExtend && now - exchange.lastReadNanos < MAX_READ_GAP_NANOS) {
                 AfterPendingReads.next(loop, this::timedOut);
             } else {
-                leave(exchange.isBegun() ? Interruption.TIMED_OUT : Interruption.WITHHELD);
+                abandon(exchange.isStarted() ? Interruption.TIMED_OUT : Interruption.WITHHELD);
             }
         }
 
-        /** Nobody waits for it any more; the last of its exchange takes the connection with it. */
-        private void leave(Interruption cause) {
+        /** Ends the call without an answer; the last call of an exchange to be abandoned closes the connection. */
+        private void abandon(Interruption cause) {
             timer.cancel(false);
-            if (left) {
+            if (abandoned) {
                 return;
             }
-            left = true;
-            boolean last = ++exchange.leftCalls == exchange.calls.size();
-            // What is cancelled is over: its last byte must not go out any more, not even for the others' sake.
+            abandoned = true;
+            boolean last = ++exchange.abandonedCalls == exchange.calls.size();
+            // The last byte of a cancelled message must not be sent, even though the other calls then fail too.
             boolean closes = last || cause == Interruption.CANCELLED && exchange.isPartlyWritten();
-            toldOpen = !done && !closes && exchange.connection != null;
+            endedWhileOpen = !outcomeDecided && !closes && exchange.connection != null;
             Outcome outcome = AttemptOutcomes.interrupted(cause, exchange.requestMayArrive(!closes));
             end(new AttemptOutcomes.Result(outcome, false), 0, Optional.of(cause));
             if (closes) {
@@ -404,173 +443,185 @@
         }
 
         /**
-         * An answer tells how it ended. What the answer says of its message binds, whether or not anybody still waits:
-         * a message that is over must not be sent again.
+         * Ends the call by an answer. If the answer ends the message, that counts even if the call was abandoned
+         * before: a message that has ended must not be sent again.
          */
-        private void answered(AttemptOutcomes.Result result, double waitMs) {
+        private void answered(AttemptOutcomes.Result result, double retryAfterMs) {
             if (result.endsMessage() && !held.endRead) {
                 held.endRead = true;
-                if (done) {
+                if (outcomeDecided) {
                     boolean delivered = result.outcome() == Outcome.DELIVERED;
-                    loop.execute(() -> ends.messageEndedAfterCall(this, delivered));
+                    loop.execute(() -> callbacks.messageEndedAfterCall(this, delivered));
                 }
             }
-            end(result, waitMs, Optional.empty());
+            end(result, retryAfterMs, Optional.empty());
         }
 
-        private void end(AttemptOutcomes.Result result, double waitMs, Optional<Interruption> interruption) {
-            if (done) {
+        private void end(AttemptOutcomes.Result result, double retryAfterMs, Optional<Interruption> interruption) {
+            if (outcomeDecided) {
                 return;
             }
-            done = true;
+            outcomeDecided = true;
             report = new AttemptReport(interruption, exchange.scanner.status(), exchange.calls.size(),
-                    exchange.leftCalls);
-            // Never at once: an end may be found while the module is being called.
-            boolean open = toldOpen;
-            double told = result.outcome() == Outcome.DELIVERED ? 0 : waitMs;
-            loop.execute(() -> ends.ended(this, result.outcome(), result.over(), told, open));
+                    exchange.abandonedCalls);
+            // Deferred, as the outcome may be decided while the delivery policy is being called.
+            boolean exchangeOpen = endedWhileOpen;
+            double reportedRetryAfterMs = result.outcome() == Outcome.DELIVERED ? 0 : retryAfterMs;
+            loop.execute(() -> callbacks.ended(this, result.outcome(), result.over(), reportedRetryAfterMs,
+                    exchangeOpen));
         }
     }
 
-    /** Calls that travel as one: one request, one answer. */
+    /** One request and its answer, shared by one or more calls. */
     private final class Exchange {
         private final Peer peer;
         private final List<Call> calls = new ArrayList<>();
         private final ResponseScanner scanner = new ResponseScanner();
-        private final ByteBuf body = Unpooled.buffer(0, LONGEST_BODY);
-        private int bytes;
-        private int leftCalls;
-        /** A connection that is coming up for it. */
-        private ChannelFuture dial;
+        private final ByteBuf body = Unpooled.buffer(0, MAX_BODY_BYTES);
+        private int bodyBytes;
+        private int abandonedCalls;
+        /** The connect that was started for it, if any. */
+        private ChannelFuture connectFuture;
         private Connection connection;
-        /** The last byte of the request is out: from here on it may have run. */
+        /** The last byte of the request is written: from here on its messages may have run. */
         private boolean flushed;
-        /** Bytes came that can't be part of its answer, so nothing proves what became of it. */
+        /** Bytes arrived that can't be part of its answer, so that nothing proves the outcome of the request. */
         private boolean corrupted;
         private int status;
         private AttemptOutcomes.Refusal refusal = AttemptOutcomes.Refusal.MESSAGE;
-        /** The answer tells where it ends, so one that is cut short is known. */
+        /** The head of the answer determines where its body ends, so that a truncated answer is detected. */
         private boolean delimited;
         private boolean keepAlive;
-        private double waitMs;
-        /** All of the answer has come. */
+        private double retryAfterMs;
+        /** The whole answer is read. */
         private boolean complete;
-        /** The whole answer proves what it says. */
+        /** The answer is complete and unambiguous, so that its status counts. */
         private boolean proven;
-        /** What came behind the answer. */
+        /** Bytes that arrived after the answer. */
         private final SurplusInput surplus = new SurplusInput();
-        /** When bytes of it came last. */
-        private long readAtNanos = System.nanoTime() - READ_GAP_NANOS;
+        /** When bytes of the answer were read last. */
+        private long lastReadNanos = System.nanoTime() - MAX_READ_GAP_NANOS;
 
         private Exchange(Peer peer) {
             this.peer = peer;
         }
 
         private boolean hasRoom(Call call) {
-            return calls.size() < peer.batch && bytes + EndpointRequests.batchSize(call.held) <= LONGEST_BODY;
+            return calls.size() < peer.batch && bodyBytes + EndpointRequests.batchSize(call.held) <= MAX_BODY_BYTES;
         }
 
         private void add(Call call) {
             call.exchange = this;
             calls.add(call);
-            bytes += EndpointRequests.batchSize(call.held);
+            bodyBytes += EndpointRequests.batchSize(call.held);
         }
 
+        /** Writes the request to an idle connection, waits for one to become reusable, or opens a new one. */
         private void start() {
-            leaveUnless(ends::mayStart);
-            if (nobodyWaits()) {
+            abandonUnless(callbacks::mayStart);
+            if (dropAbandonedCalls()) {
                 return;
             }
-            Optional<Connection> reusable = peer.takeQuiet();
+            Optional<Connection> reusable = peer.takeReusable();
             if (reusable.isPresent()) {
-                peer.exchangeBegins();
+                peer.recordExchangeStart();
                 write(reusable.get());
-            } else if (!peer.awaitQuiet(() -> startOnceAllIsRead(this))) {
-                peer.exchangeBegins();
-                dial = bootstrap.connect(peer.address);
-                EventLoopListeners.whenDone(loop, dial, this::connected);
+            } else if (!peer.runWhenQuiet(() -> startAfterPendingInput(this))) {
+                peer.recordExchangeStart();
+                connectFuture = bootstrap.connect(peer.address);
+                EventLoopListeners.whenDone(loop, connectFuture, this::connected);
             }
         }
 
-        /** Whether the endpoint has anything to do with it yet: it goes over a connection, or one is coming up for it. */
-        private boolean isBegun() {
-            return connection != null || dial != null;
+        /** Whether it has a connection, or a connect was started for it. */
+        private boolean isStarted() {
+            return connection != null || connectFuture != null;
         }
 
-        /** What was given up before its first byte is not sent any more. */
-        private boolean nobodyWaits() {
-            calls.removeIf(call -> call.left);
-            leftCalls = 0;
+        /** Removes calls that were abandoned before their first byte was written; returns whether none is left. */
+        private boolean dropAbandonedCalls() {
+            calls.removeIf(call -> call.abandoned);
+            abandonedCalls = 0;
             return calls.isEmpty();
         }
 
-        private void connected(ChannelFuture f) {
-            if (nobodyWaits()) {
-                if (f.isSuccess()) {
-                    f.channel().close();
+        /** The connect has succeeded or failed. */
+        private void connected(ChannelFuture future) {
+            if (dropAbandonedCalls()) {
+                if (future.isSuccess()) {
+                    future.channel().close();
                 }
-            } else if (!f.isSuccess()) {
-                interrupted(Interruption.CONNECT_FAILED);
+            } else if (!future.isSuccess()) {
+                interruptAll(Interruption.CONNECT_FAILED);
             } else {
-                connected(f.channel().pipeline().get(Connection.class));
+                connected(future.channel().pipeline().get(Connection.class));
             }
         }
 
-        /** While it came up the list may have changed, and what forbids the call may have arrived. */
-        private void connected(Connection fresh) {
-            fresh.peer = peer;
-            ends.runWhenListIsCurrent(() -> inputBarrier.whenRead(() -> startOn(fresh)));
+        /**
+         * Starts on a new connection, after another look at the list of endpoints and at pending input: either may
+         * forbid the call by now.
+         */
+        private void connected(Connection newConnection) {
+            newConnection.peer = peer;
+            callbacks.runWhenListIsCurrent(() -> inputBarrier.whenRead(() -> startOn(newConnection)));
         }
 
-        /** One that speaks before it is asked is of no use: what it says later can't be told from an answer. */
-        private void startOn(Connection on) {
-            if (on.isUsable()) {
-                leaveUnless(ends::mayStart);
-                write(on);
+        /**
+         * Writes to a connection unless it brought input before a request: later input could not be told from an answer
+         * then, so the connection is closed.
+         */
+        private void startOn(Connection target) {
+            if (target.isUsable()) {
+                abandonUnless(callbacks::mayStart);
+                write(target);
             } else {
-                on.close(CloseReason.UNUSABLE);
-                interrupted(Interruption.CONNECT_FAILED);
+                target.close(CloseReason.UNUSABLE);
+                interruptAll(Interruption.CONNECT_FAILED);
             }
         }
 
-        private void leaveUnless(Predicate<Call> goesOn) {
-            calls.stream().filter(call -> !call.left && !goesOn.test(call))
-                    .forEach(call -> call.leave(Interruption.WITHHELD));
+        /** Abandons each call that does not meet a condition, as withheld. */
+        private void abandonUnless(Predicate<Call> condition) {
+            calls.stream().filter(call -> !call.abandoned && !condition.test(call))
+                    .forEach(call -> call.abandon(Interruption.WITHHELD));
         }
 
-        private void write(Connection on) {
-            leaveUnless(call -> !call.held.endRead && call.begins());
-            if (nobodyWaits()) {
-                on.rest();
+        /** Writes the request, without the calls that may not be sent any more. */
+        private void write(Connection target) {
+            abandonUnless(call -> !call.held.endRead && call.mayBegin());
+            if (dropAbandonedCalls()) {
+                target.keepIdle();
             } else if (inputBarrier.isRecent()) {
-                writeRequest(on);
+                writeRequest(target);
             } else {
-                // Recording the calls took so long that what forbids them may have arrived meanwhile.
-                inputBarrier.whenRead(() -> startOn(on));
+                // Recording the calls took so long that input which forbids them may have arrived meanwhile.
+                inputBarrier.whenRead(() -> startOn(target));
             }
         }
 
-        private void writeRequest(Connection on) {
-            connection = on;
-            on.begin(this);
-            on.channel.writeAndFlush(request()).addListener(f -> {
-                flushed |= f.isSuccess();
+        private void writeRequest(Connection target) {
+            connection = target;
+            target.startExchange(this);
+            target.channel.writeAndFlush(request()).addListener(future -> {
+                flushed |= future.isSuccess();
                 if (flushed) {
-                    ends.written(calls.size());
+                    callbacks.written(calls.size());
                 } else {
-                    lost();
+                    connectionLost();
                     close(CloseReason.WRITE_FAILED);
                 }
             });
         }
 
         private FullHttpRequest request() {
-            long longestMs = calls.stream().mapToLong(Call::leftMs).max().orElseThrow();
-            return calls.size() == 1 ? EndpointRequests.single(peer.address, calls.get(0).held, longestMs)
-                    : EndpointRequests.batch(peer.address, calls.stream().map(call -> call.held).toList(), longestMs);
+            long longestRemainingMs = calls.stream().mapToLong(Call::remainingMs).max().orElseThrow();
+            return calls.size() == 1 ? EndpointRequests.single(peer.address, calls.get(0).held, longestRemainingMs)
+                    : EndpointRequests.batch(peer.address, calls.stream().map(call -> call.held).toList(),
+                            longestRemainingMs);
         }
 
-        /** Whether the last byte of the request has gone out, or may yet, as its connection stays open. */
+        /** Whether the last byte of the request was written, or may yet be because its connection stays open. */
         private boolean requestMayArrive(boolean staysOpen) {
             return flushed || corrupted || staysOpen && connection != null;
         }
@@ -579,46 +630,51 @@
             return connection != null && connection.exchange == this && !flushed;
         }
 
-        /** The connection is gone. */
-        private void lost() {
+        /** The connection has closed: the answer counts if it is complete, otherwise all calls end as interrupted. */
+        private void connectionLost() {
             if (complete) {
                 conclude();
             } else {
-                interrupted(Interruption.CONNECTION_LOST);
+                interruptAll(Interruption.CONNECTION_LOST);
             }
-            over();
+            notifyClosed();
         }
 
-        private void interrupted(Interruption cause) {
+        /** Ends all calls without a complete answer. */
+        private void interruptAll(Interruption cause) {
             Outcome outcome = AttemptOutcomes.interrupted(cause, requestMayArrive(false));
             AttemptOutcomes.Result result = new AttemptOutcomes.Result(outcome, false);
             calls.forEach(call -> call.timer.cancel(false));
-            calls.forEach(call -> call.end(result, waitMs, Optional.of(cause)));
+            calls.forEach(call -> call.end(result, retryAfterMs, Optional.of(cause)));
         }
 
-        /** Nobody waits for it. A connection that has gone on to another exchange is left alone. */
+        /** Closes its connection, as no call waits for it any more; not one that carries another exchange by now. */
         private void close(CloseReason reason) {
             if (connection != null && connection.exchange == this) {
                 connection.close(reason);
-                over();
-            } else if (connection == null && dial != null && !dial.isDone()) {
-                // It would hold its descriptor until the dial times out, though its slot is free.
-                dial.channel().close();
+                notifyClosed();
+            } else if (connection == null && connectFuture != null && !connectFuture.isDone()) {
+                // The socket would hold a file descriptor until the connect times out, although its slot is free.
+                connectFuture.channel().close();
             }
         }
 
-        private void over() {
+        /** Reports the end of the exchange for each call that ended while it was open. */
+        private void notifyClosed() {
             for (Call call : calls) {
-                if (call.toldOpen) {
-                    call.toldOpen = false;
-                    loop.execute(() -> ends.closed(call));
+                if (call.endedWhileOpen) {
+                    call.endedWhileOpen = false;
+                    loop.execute(() -> callbacks.closed(call));
                 }
             }
         }
 
-        /** More bytes of the answer have come; a first line with 200 counts, whatever becomes of the rest. */
+        /**
+         * Scans further bytes of the answer. For a single message a status line with 200 counts as delivered, whatever
+         * follows it.
+         */
         private void received(ByteBuf input) {
-            readAtNanos = System.nanoTime();
+            lastReadNanos = System.nanoTime();
             scanner.scan(input);
             if (calls.size() == 1 && scanner.status() == HttpResponseStatus.OK.code()) {
                 calls.get(0).answered(AttemptOutcomes.firstLineDelivered(), 0);
@@ -626,33 +682,37 @@
         }
 
         /**
-         * The head of the answer has come. The time-outs run on: only a whole answer proves that nothing ran, and
-         * a body that never ends must not hold the connection for good.
+         * The head of the answer is read. The time-outs keep running: only a complete answer proves that the messages
+         * did not run, and a body that never ends must not occupy the connection forever.
          */
-        private void head(HttpResponse response) {
+        private void readHead(HttpResponse response) {
             status = response.status().code();
             delimited = isDelimited(response);
             keepAlive = HttpUtil.isKeepAlive(response);
-            waitMs = waitMs(response);
-            refusal = AttemptOutcomes.Refusal.of(response.headers().contains("X-No-Slot"), !connection.used, keepAlive);
+            retryAfterMs = retryAfterMs(response);
+            refusal = AttemptOutcomes.Refusal.of(response.headers().contains("X-No-Slot"), !connection.hasAnswered,
+                    keepAlive);
             if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                     && refusal == AttemptOutcomes.Refusal.CONNECTION) {
-                // Its table is full: what idles there keeps the other senders out, and they can't tell this one.
-                crowded.add(peer.kind);
+                // The connection table is full: idle connections keep other senders out, which can't tell this one.
+                crowdedKinds.add(peer.kind);
             }
-            connection.used = true;
-            tellWait();
+            connection.hasAnswered = true;
+            reportRetryAfter();
         }
 
-        /** A wait is heeded once its head is read, and runs from the last byte on, which may come much later. */
-        private void tellWait() {
-            if (waitMs > 0) {
-                loop.execute(() -> ends.waitTold(peer.endpoint, waitMs));
+        /**
+         * Reports the Retry-After of the answer. It takes effect once the head is read, but its time counts from the
+         * last byte of the answer, which may arrive much later; so it is reported at both.
+         */
+        private void reportRetryAfter() {
+            if (retryAfterMs > 0) {
+                loop.execute(() -> callbacks.waitTold(peer.endpoint, retryAfterMs));
             }
         }
 
-        /** Takes more of the body, where it matters; false if that is too long. */
-        private boolean body(ByteBuf part) {
+        /** Collects the body of an answer to several messages; returns false if it is too long. */
+        private boolean readBody(ByteBuf part) {
             boolean fits = part.readableBytes() <= body.maxWritableBytes();
             if (fits && calls.size() > 1) {
                 body.writeBytes(part);
@@ -660,54 +720,61 @@
             return fits || calls.size() == 1;
         }
 
-        /** Whether one answer was read whole, whatever came behind it. */
+        /** Whether exactly one answer was read, and completely; bytes that follow it are ignored here. */
         private boolean isReadWhole() {
             return complete && delimited && !corrupted && scanner.isSingleAnswer(surplus.statusLines())
                     && scanner.status() == status;
         }
 
-        /** Whether the answer proves what it says by its status. */
-        private boolean isProof() {
+        /** Whether the status of the answer is proof of the outcome. */
+        private boolean provesOutcome() {
             return isReadWhole() && surplus.holdsNoOtherStatus(status);
         }
 
-        /** Whether an answer to several messages proves what it says of each: the ids in it tell whose answer it is. */
-        private boolean isProof(BatchAnswer answer) {
+        /**
+         * Whether an answer to several messages is proof of the outcome of each: the ids in it show that it belongs to
+         * this request.
+         */
+        private boolean provesOutcome(BatchAnswer answer) {
             List<String> ids = calls.stream().map(call -> call.held.id).toList();
             return isReadWhole() && (surplus.isEmpty() ? answer.namesAny(ids) : answer.isWhole(ids));
         }
 
-        /** Whether its connection can carry another exchange. */
+        /** Whether the connection can carry another exchange after this one. */
         private boolean leavesConnectionUsable() {
             return keepAlive && surplus.isEmpty() && proven;
         }
 
 
-        /** The answer is whole: what it says counts for all its messages, also for those that have left. */
+        /** Ends all calls by the complete answer, which also counts for the messages of abandoned calls. */
         private void conclude() {
-            boolean reports = status == HttpResponseStatus.OK.code() && calls.size() > 1;
+            boolean isBatchReport = status == HttpResponseStatus.OK.code() && calls.size() > 1;
             calls.forEach(call -> call.timer.cancel(false));
             BatchAnswer answer = new BatchAnswer(body.toString(StandardCharsets.ISO_8859_1));
-            proven = reports ? isProof(answer) : isProof();
-            if (reports && proven) {
-                calls.forEach(call -> call.answered(AttemptOutcomes.reported(answer.word(call.held.id)), waitMs));
+            proven = isBatchReport ? provesOutcome(answer) : provesOutcome();
+            if (isBatchReport && proven) {
+                calls.forEach(call -> call.answered(AttemptOutcomes.reported(answer.word(call.held.id)), retryAfterMs));
             } else {
-                AttemptOutcomes.Result all = AttemptOutcomes.answered(scanner.status(), proven, refusal, calls.size());
-                calls.forEach(call -> call.answered(all, waitMs));
+                AttemptOutcomes.Result result =
+                        AttemptOutcomes.answered(scanner.status(), proven, refusal, calls.size());
+                calls.forEach(call -> call.answered(result, retryAfterMs));
             }
-            tellWait();
-            over();
+            reportRetryAfter();
+            notifyClosed();
         }
     }
 
-    /** A length counts for nothing beside a transfer coding, whose end only chunks can tell. */
+    /**
+     * Whether the head determines where the body ends. With a Transfer-Encoding, Content-Length does not count: only
+     * chunked coding marks the end then.
+     */
     private static boolean isDelimited(HttpResponse response) {
         return response.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 ? HttpUtil.isTransferEncodingChunked(response) : HttpUtil.isContentLengthSet(response);
     }
 
-    /** The told wait, in seconds on the wire; an unreadable one counts as none. */
-    private static double waitMs(HttpResponse response) {
+    /** The Retry-After header, which is in seconds, in milliseconds; 0 if it is missing or can't be parsed. */
+    private static double retryAfterMs(HttpResponse response) {
         try {
             double seconds = Double.parseDouble(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0"));
             return Double.isFinite(seconds) ? Math.max(0, seconds * 1000) : 0;
@@ -716,34 +783,36 @@
         }
     }
 
+    /** An address in the form that the Host header uses. */
     static String hostPort(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
     /**
-     * A connection to an endpoint; it carries one exchange at a time. Its HTTP codec lives as long as an exchange, so
-     * no bytes are kept from one to the next: whatever comes outside an answer makes the connection unusable.
+     * A connection to an endpoint; it carries one exchange at a time. Each exchange has an HTTP codec of its own, so
+     * that no bytes are carried over to the next one: input outside an answer makes the connection unusable.
      */
     private final class Connection extends SimpleChannelInboundHandler<Object> {
-        private static final String CODEC = "codec";
-        private static final String NAME = "connection";
+        private static final String CODEC_NAME = "codec";
+        private static final String HANDLER_NAME = "connection";
 
         private Channel channel;
         private Peer peer;
         private Exchange exchange;
-        private long idleSince;
+        private long idleSinceNanos;
         private final QuietPeriod quiet = new QuietPeriod();
-        /** It has brought an answer. */
-        private boolean used;
+        /** The head of an answer has been read from it. */
+        private boolean hasAnswered;
+        /** The part of the answer that is being read belongs to an interim (1xx) answer. */
         private boolean interim;
         private int exchanges;
         private long surplusBytes;
-        /** Why this side closed it, if it did. */
-        private CloseReason closedFor = CloseReason.PEER;
-        /** What the system said of its end, if anything. */
+        /** Why this side closed it; {@link CloseReason#PEER} if it did not. */
+        private CloseReason closeReason = CloseReason.PEER;
+        /** Message of the I/O error that ended it; empty if there was none. */
         private String cause = "";
 
-        /** The handlers of a new connection: what comes is looked at before and after the codec. */
+        /** Adds the handlers of a new connection, which look at the input before and after the codec. */
         private void addTo(ChannelPipeline pipeline) {
             channel = pipeline.channel();
             pipeline.addLast(new ChannelInboundHandlerAdapter() {
@@ -752,24 +821,25 @@
                     received(ctx, (ByteBuf) input);
                 }
             });
-            pipeline.addLast(NAME, this);
+            pipeline.addLast(HANDLER_NAME, this);
         }
 
-        private void begin(Exchange next) {
+        private void startExchange(Exchange next) {
             exchange = next;
             exchanges++;
             interim = false;
-            channel.pipeline().addBefore(NAME, CODEC, new HttpClientCodec());
+            channel.pipeline().addBefore(HANDLER_NAME, CODEC_NAME, new HttpClientCodec());
         }
 
+        /** Handles raw input: scans the bytes of an answer and passes them to the codec; other bytes are surplus. */
         private void received(ChannelHandlerContext ctx, ByteBuf input) {
             if (exchange == null || !exchange.flushed) {
                 surplusBytes += input.readableBytes();
                 input.release();
-                strayInput();
+                rejectStrayInput();
             } else if (exchange.complete) {
                 exchange.scanner.scan(input);
-                surplus(input);
+                addSurplus(input);
                 input.release();
             } else {
                 exchange.received(input);
@@ -777,14 +847,14 @@
             }
         }
 
-        /** Bytes have come behind the whole answer. */
-        private void surplus(ByteBuf input) {
+        /** Records bytes that arrived after the complete answer. */
+        private void addSurplus(ByteBuf input) {
             surplusBytes += input.readableBytes();
             exchange.surplus.add(input);
         }
 
-        /** Nothing was asked, or not yet in full: what came can't be told from an answer. */
-        private void strayInput() {
+        /** Closes the connection: bytes that arrive before a request is fully written can't be told from an answer. */
+        private void rejectStrayInput() {
             if (exchange != null) {
                 exchange.corrupted = true;
             }
@@ -794,8 +864,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Object part) {
             if (!(part instanceof HttpObject object)) {
-                // The codec hands on what is left behind the end of the answer.
-                surplus((ByteBuf) part);
+                // When it is removed, the codec passes on bytes that follow the end of the answer.
+                addSurplus((ByteBuf) part);
             } else if (exchange == null || object.decoderResult().isFailure()) {
                 close(CloseReason.UNREADABLE_ANSWER);
             } else {
@@ -807,85 +877,89 @@
             if (part instanceof HttpResponse response) {
                 interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
                 if (!interim) {
-                    exchange.head(response);
+                    exchange.readHead(response);
                 }
             }
             if (interim) {
                 return;
             }
-            if (part instanceof HttpContent content && !exchange.body(content.content())) {
+            if (part instanceof HttpContent content && !exchange.readBody(content.content())) {
                 close(CloseReason.UNREADABLE_ANSWER);
             } else if (part instanceof LastHttpContent) {
                 exchange.complete = true;
-                channel.pipeline().remove(CODEC);
+                channel.pipeline().remove(CODEC_NAME);
             }
         }
 
-        /** All that has come so far is read: an answer that is whole by now counts, and what is behind it ends its connection. */
+        /**
+         * All input that has arrived so far is read: concludes the exchange if its answer is complete, and closes the
+         * connection if bytes follow it.
+         */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
             if (exchange != null && exchange.complete) {
-                Exchange ended = exchange;
+                Exchange finished = exchange;
                 exchange = null;
-                if (!FaultIsolation.run(ended::conclude)) {
-                    ended.interrupted(Interruption.CONNECTION_LOST);
-                    ended.over();
+                if (!FaultIsolation.run(finished::conclude)) {
+                    finished.interruptAll(Interruption.CONNECTION_LOST);
+                    finished.notifyClosed();
                 }
-                peer.exchangeEnds();
+                peer.recordExchangeEnd();
                 quiet.begin();
-                if (ended.leavesConnectionUsable()) {
-                    rest();
+                if (finished.leavesConnectionUsable()) {
+                    keepIdle();
                 } else {
-                    close(reasonToClose(ended));
+                    close(reasonToClose(finished));
                 }
             }
             ctx.fireChannelReadComplete();
         }
 
-        private static CloseReason reasonToClose(Exchange ended) {
-            if (!ended.keepAlive) {
+        private static CloseReason reasonToClose(Exchange finished) {
+            if (!finished.keepAlive) {
                 return CloseReason.NOT_KEPT_ALIVE;
             }
-            return ended.surplus.isEmpty() ? CloseReason.UNREADABLE_ANSWER : CloseReason.STRAY_INPUT;
+            return finished.surplus.isEmpty() ? CloseReason.UNREADABLE_ANSWER : CloseReason.STRAY_INPUT;
         }
 
-        /** Is kept for the next exchange, if there is room. */
-        void rest() {
-            if (idle < mostIdle && channel.isActive() && peer.mayIdle()) {
-                idleSince = nanos.getAsLong();
-                peer.idle.addLast(this);
-                idle++;
-                if (crowded.contains(peer.kind)) {
-                    loop.schedule(this::closeUnused, crowdedNanos, TimeUnit.NANOSECONDS);
+        /** Keeps the connection idle for the next exchange, or closes it if it may not be idle. */
+        void keepIdle() {
+            if (idleCount < maxIdleConnections && channel.isActive() && peer.mayIdle()) {
+                idleSinceNanos = nanos.getAsLong();
+                peer.idleConnections.addLast(this);
+                idleCount++;
+                if (crowdedKinds.contains(peer.kind)) {
+                    loop.schedule(this::closeUnused, crowdedIdleNanos, TimeUnit.NANOSECONDS);
                 }
             } else {
                 close(CloseReason.NOT_KEPT);
             }
         }
 
+        /** Closes the connection if it was idle for the idle time of crowded kinds. */
         private void closeUnused() {
-            if (exchange == null && nanos.getAsLong() - idleSince >= crowdedNanos) {
+            if (exchange == null && nanos.getAsLong() - idleSinceNanos >= crowdedIdleNanos) {
                 close(CloseReason.IDLE);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (peer != null && peer.idle.remove(this)) {
-                idle--;
+            if (peer != null && peer.idleConnections.remove(this)) {
+                idleCount--;
             }
             if (peer != null) {
-                ends.connectionClosed(peer.endpoint, closedFor, exchange != null, cause, use());
+                callbacks.connectionClosed(peer.endpoint, closeReason, exchange != null, cause, use());
             }
             if (exchange != null) {
-                Exchange broken = exchange;
+                Exchange lostExchange = exchange;
                 exchange = null;
-                broken.lost();
+                lostExchange.connectionLost();
             }
         }
 
         private ConnectionUse use() {
-            return new ConnectionUse(exchanges, surplusBytes, used ? quiet.elapsedMs() : -1);
+            return new ConnectionUse(exchanges, surplusBytes, hasAnswered ? quiet.elapsedMs() : -1);
         }
 
         @Override
@@ -897,17 +971,18 @@
             ctx.close();
         }
 
-        /** Whether it can carry another exchange: nothing has come over it since the last, not even its end. */
+        /** Whether it can carry another exchange: it is open, and its socket holds no unread input or end of stream. */
         boolean isUsable() {
             return channel.isActive() && !((UnreadInputChannel) channel).hasUnreadInput();
         }
 
+        /** Closes the connection; only the first reason counts. */
         void close(CloseReason reason) {
-            if (peer != null && peer.idle.remove(this)) {
-                idle--;
+            if (peer != null && peer.idleConnections.remove(this)) {
+                idleCount--;
             }
-            if (closedFor == CloseReason.PEER) {
-                closedFor = reason;
+            if (closeReason == CloseReason.PEER) {
+                closeReason = reason;
             }
             channel.close();
         }
