--- a/src/main/java/starlingvalve/net/BatchAnswer.java
+++ b/src/main/java/starlingvalve/net/BatchAnswer.java
@@ -4,18 +4,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The body of an answer to several messages: a line for each, with its id and the word for how it ended. */
+/** The body of an answer to several messages: one line for each, with its id and one word for its outcome. */
 final class BatchAnswer {
-    /** Stands for no word, and for an id that two lines name. */
+    /** The word of an id that no line names, or that two lines name. */
     private static final String UNKNOWN = "";
 
     private static final String LINE_END = "\n";
 
     private final Map<String, String> words = new HashMap<>();
-    private final boolean lastLineEnds;
+    private final boolean lastLineComplete;
 
     BatchAnswer(String body) {
-        lastLineEnds = body.endsWith(LINE_END);
+        lastLineComplete = body.endsWith(LINE_END);
         for (String line : body.split("\r?\n")) {
             String[] parts = line.trim().split(" ");
             if (parts.length == 2) {
@@ -24,17 +24,17 @@
         }
     }
 
-    /** Whether it has a clear word for each of these messages, and ends with a whole line. */
+    /** Whether each of these messages has an unambiguous word, and the last line is complete. */
     boolean isWhole(Collection<String> ids) {
-        return lastLineEnds && ids.stream().noneMatch(id -> word(id).isEmpty());
+        return lastLineComplete && ids.stream().noneMatch(id -> word(id).isEmpty());
     }
 
-    /** Whether it names any of these messages: one that names none is the answer to another call. */
+    /** Whether it names any of these messages; an answer that names none belongs to another request. */
     boolean namesAny(Collection<String> ids) {
         return ids.stream().anyMatch(words::containsKey);
     }
 
-    /** The word for a message, empty if the answer has none or no clear one. */
+    /** The word for a message; empty if the answer has none, or more than one. */
     String word(String id) {
         return words.getOrDefault(id, UNKNOWN);
     }
--- a/src/main/java/starlingvalve/net/EndpointRequests.java
+++ b/src/main/java/starlingvalve/net/EndpointRequests.java
@@ -21,7 +21,7 @@
     private EndpointRequests() {
     }
 
-    /** A request with one message; {@code budgetMs} is how long its answer is waited for. */
+    /** A request with one message; {@code budgetMs} is how long the caller waits for its answer. */
     static FullHttpRequest single(InetSocketAddress endpoint, AcceptedMessage message, long budgetMs) {
         FullHttpRequest request = request(endpoint, SINGLE_PATH, Unpooled.wrappedBuffer(message.body), budgetMs);
         request.headers().set("X-Call-Id", message.id);
@@ -29,7 +29,7 @@
         return request;
     }
 
-    /** A request with several messages. */
+    /** A request with several messages: for each a line with id, key and length of its body, then the body. */
     static FullHttpRequest batch(InetSocketAddress endpoint, List<AcceptedMessage> messages, long budgetMs) {
         ByteBuf body = Unpooled.buffer(messages.stream().mapToInt(EndpointRequests::batchSize).sum());
         for (AcceptedMessage message : messages) {
@@ -39,7 +39,7 @@
         return request(endpoint, BATCH_PATH, body, budgetMs);
     }
 
-    /** Bytes that a message takes up in the body of a request with several. */
+    /** Number of bytes that a message takes up in the body of a request with several messages. */
     static int batchSize(AcceptedMessage message) {
         return headLine(message).length + message.body.length + LINE_END.length();
     }
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -292,7 +292,7 @@
         }
     }
 
-    /** One endpoint: its address, its idle connections and how often exchanges with it start. */
+    /** One endpoint: its address, its idle connections and the usual gap between its exchanges. */
     private final class Peer {
         final long endpoint;
         InetSocketAddress address;
--- a/src/main/java/starlingvalve/net/EventLoopListeners.java
+++ b/src/main/java/starlingvalve/net/EventLoopListeners.java
@@ -4,21 +4,22 @@
 import io.netty.channel.EventLoop;
 import java.util.function.Consumer;
 
-/** What follows a connect, or a bind. */
+/** Runs a listener of a connect or bind future on the event loop. */
 final class EventLoopListeners {
     private EventLoopListeners() {
     }
 
     /**
-     * Tells on the event loop how it has ended. Where not even a socket could be made, as the descriptors of the
-     * machine are used up, the future is completed by a thread that is none of the loop's.
+     * Passes the completed future to a listener on the event loop: in the thread that completes it if that is the loop,
+     * else as a task. If not even a socket could be created, because the machine has run out of file descriptors, the
+     * future is completed by another thread.
      */
-    static void whenDone(EventLoop loop, ChannelFuture connect, Consumer<ChannelFuture> then) {
-        connect.addListener((ChannelFuture done) -> {
+    static void whenDone(EventLoop loop, ChannelFuture future, Consumer<ChannelFuture> listener) {
+        future.addListener((ChannelFuture completed) -> {
             if (loop.inEventLoop()) {
-                then.accept(done);
+                listener.accept(completed);
             } else {
-                loop.execute(() -> then.accept(done));
+                loop.execute(() -> listener.accept(completed));
             }
         });
     }
--- a/src/main/java/starlingvalve/net/QuietPeriod.java
+++ b/src/main/java/starlingvalve/net/QuietPeriod.java
@@ -3,29 +3,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long a kept connection stays quiet behind an answer before it carries the next request. What a peer sends straight
- * behind its answer has come by then, and ends the connection; a request that was already under way would take it for
- * its own answer.
+ * The time for which a connection must be quiet after an answer before it may carry the next request. Bytes that a peer
+ * sends right after its answer arrive within this period, and the connection is closed; with the next request already
+ * in flight they would be taken for its answer.
  */
 final class QuietPeriod {
-    private static final long NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    private long beginNanos = System.nanoTime();
-    private boolean begun;
+    private long startNanos = System.nanoTime();
+    private boolean started;
 
-    /** An answer has come whole: the period begins. */
+    /** Starts the period; called when a complete answer has been read. */
     void begin() {
-        begun = true;
-        beginNanos = System.nanoTime();
+        started = true;
+        startNanos = System.nanoTime();
     }
 
-    /** How long ago the last answer came whole; before the first one, how long there was none. */
+    /** Time since the last complete answer was read; before the first one, since this object was created. */
     long elapsedMs() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - beginNanos);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
-    /** How long it lasts still; 0 once it is over, and before the first answer. */
+    /** Time until the period ends; 0 once it has ended, and before the first answer. */
     long remainingNanos() {
-        return begun ? Math.max(0, beginNanos + NANOS - System.nanoTime()) : 0;
+        return started ? Math.max(0, startNanos + PERIOD_NANOS - System.nanoTime()) : 0;
     }
 }
--- a/src/main/java/starlingvalve/net/ResponseScanner.java
+++ b/src/main/java/starlingvalve/net/ResponseScanner.java
@@ -6,78 +6,81 @@
 import java.util.regex.Pattern;
 
 /**
- * Watches the bytes of one answer as they come from the socket, beside the HTTP codec, which forgives much: reads the
- * status from the first line alone, which counts even if the rest can't be read; checks that each header line is one;
- * and finds out whether bytes of another answer stand among them. Interim answers (1xx) are passed over.
+ * Checks the bytes of one answer as they arrive from the socket, in addition to the HTTP codec, which is lenient. It
+ * reads the status from the status line alone, as that counts even if the rest can't be parsed; checks that each header
+ * line is well-formed; and detects a second status line, which shows that bytes of another answer are mixed in. Interim
+ * answers (1xx) are skipped.
  */
 final class ResponseScanner {
-    /** What each status line begins with; no prefix of it occurs in it again. */
+    /** Start of each status line. None of its prefixes occurs in it again, so the matcher need not backtrack. */
     private static final byte[] VERSION = "HTTP/1.".getBytes(StandardCharsets.ISO_8859_1);
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: [^\\r]*)?\\r?");
-    private static final int LONGEST_STATUS_LINE = 4096;
-    private static final int NONE = 0;
+    private static final int MAX_STATUS_LINE_LENGTH = 4096;
+    private static final int NO_STATUS = 0;
     private static final int FIRST_FINAL_STATUS = 200;
 
     private enum State { STATUS_LINE, HEADERS, BODY }
 
     private final StringBuilder statusLine = new StringBuilder();
     private State state = State.STATUS_LINE;
-    private int status = NONE;
+    private int status = NO_STATUS;
     private boolean interim;
     private boolean malformed;
-    /** Bytes of the header line that is being read, and whether its name has ended. */
+    /** Number of bytes of the current header line so far. */
     private int headerLength;
-    private boolean nameEnded;
-    /** How much of {@link #VERSION} the last bytes match. */
-    private int matched;
-    /** How often a status line begins in the answer. */
+    /** Whether the colon after the name of the current header line has been read. */
+    private boolean headerNameEnded;
+    /** Length of the prefix of {@link #VERSION} that the last bytes match. */
+    private int matchedLength;
+    /** Number of status lines that start in the scanned bytes since the last interim answer. */
     private int statusLines;
 
-    /** Takes the next bytes, which stay unread. */
+    /** Scans the next bytes; does not move the reader index. */
     void scan(ByteBuf bytes) {
         bytes.forEachByte(value -> {
-            next(value);
+            scanByte(value);
             return true;
         });
     }
 
-    /** The status of the answer, or 0 until its first line is whole, or if that can't be read. */
+    /** The status of the answer; 0 until the status line is complete, or if it can't be parsed. */
     int status() {
         return status;
     }
 
     /**
-     * Whether the bytes of the answer may belong to one, with a status line and headers that can be read.
+     * Whether the scanned bytes up to the end of the answer are one well-formed answer: with a valid status line, valid
+     * headers, and no other status line among them.
      *
-     * @param surplusStatusLines so many of the status lines that were scanned stand behind the end of the answer
+     * @param surplusStatusLines number of the scanned status lines that start after the end of the answer
      */
     boolean isSingleAnswer(int surplusStatusLines) {
-        return !malformed && status != NONE && statusLines == 1 + surplusStatusLines;
+        return !malformed && status != NO_STATUS && statusLines == 1 + surplusStatusLines;
     }
 
-    private void next(byte value) {
-        count(value);
+    private void scanByte(byte value) {
+        countStatusLines(value);
         switch (state) {
             case STATUS_LINE -> statusLine(value);
-            case HEADERS -> header(value);
+            case HEADERS -> readHeaderByte(value);
             default -> { }
         }
     }
 
-    private void count(byte value) {
-        if (value == VERSION[matched]) {
-            matched++;
+    private void countStatusLines(byte value) {
+        if (value == VERSION[matchedLength]) {
+            matchedLength++;
         } else {
-            matched = value == VERSION[0] ? 1 : 0;
+            matchedLength = value == VERSION[0] ? 1 : 0;
         }
-        if (matched == VERSION.length) {
-            matched = 0;
+        if (matchedLength == VERSION.length) {
+            matchedLength = 0;
             statusLines++;
         }
     }
 
     private void statusLine(byte value) {
-        if (value != '\n' && statusLine.length() < LONGEST_STATUS_LINE) {
+        if (value != '\n' && statusLine.length() < MAX_STATUS_LINE_LENGTH) {
             statusLine.append((char) (value & 0xff));
             return;
         }
@@ -88,30 +91,30 @@
             state = State.BODY;
             return;
         }
-        int read = Integer.parseInt(matcher.group(1));
-        interim = read < FIRST_FINAL_STATUS;
-        status = interim ? NONE : read;
+        int parsedStatus = Integer.parseInt(matcher.group(1));
+        interim = parsedStatus < FIRST_FINAL_STATUS;
+        status = interim ? NO_STATUS : parsedStatus;
         state = State.HEADERS;
     }
 
-    private void header(byte value) {
+    private void readHeaderByte(byte value) {
         if (value == '\n') {
-            headerLineEnds();
+            endHeaderLine();
         } else if (value != '\r') {
             headerLength++;
-            // A name is not empty, and holds neither spaces nor control characters.
-            malformed |= !nameEnded && (value <= ' ' || value == ':' && headerLength == 1);
-            nameEnded |= value == ':';
+            // A name must not be empty, and must not contain spaces or control characters.
+            malformed |= !headerNameEnded && (value <= ' ' || value == ':' && headerLength == 1);
+            headerNameEnded |= value == ':';
         }
     }
 
-    private void headerLineEnds() {
+    private void endHeaderLine() {
         boolean empty = headerLength == 0;
-        malformed |= !empty && !nameEnded;
+        malformed |= !empty && !headerNameEnded;
         headerLength = 0;
-        nameEnded = false;
+        headerNameEnded = false;
         if (empty && interim) {
-            // The answer proper begins here.
+            // The final answer, or another interim one, starts here.
             state = State.STATUS_LINE;
             statusLines = 0;
         } else if (empty) {
