--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -32,45 +32,45 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy.Outcome;
 
-/** Each row of the protocol's table of outcomes, and the connections that calls go over. */
+/** Tests each row of the protocol's table of outcomes, and how connections are opened, reused and closed. */
 class EndpointsTest {
     private static final double LONG_MS = 20_000;
-    private static final long HELD_UP_MS = 10;
-    /** Longer than a kept connection is left quiet. */
+    private static final long STALL_MS = 10;
+    /** Longer than the {@link QuietPeriod} of a connection. */
     private static final double SHORT_MS = 300;
-    /** So many that where tables are full no connection may idle at all. */
+    /** So many senders that no connection may be idle where connection tables are full. */
     private static final int SENDERS = Integer.MAX_VALUE;
 
-    private record End(Outcome outcome, boolean gone, double waitMs, boolean open) {
-        End(Outcome outcome, boolean gone, double waitMs) {
-            this(outcome, gone, waitMs, false);
+    private record End(Outcome outcome, boolean messageEnded, double retryAfterMs, boolean exchangeOpen) {
+        End(Outcome outcome, boolean messageEnded, double retryAfterMs) {
+            this(outcome, messageEnded, retryAfterMs, false);
         }
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
-    private final Set<String> barred = ConcurrentHashMap.newKeySet();
+    private final Set<String> withheldIds = ConcurrentHashMap.newKeySet();
     private volatile Runnable beforeStart = () -> { };
-    /** Done before a call goes to look for a connection, and while the loop reads that a new one is up. */
-    private volatile Runnable whenListNeeded = () -> { };
+    /** Runs before a call looks for a connection, and again in the read in which a new connection is up. */
+    private volatile Runnable beforeListCheck = () -> { };
     private volatile Runnable beforeWrite = () -> { };
-    private volatile boolean slow;
-    private final BlockingQueue<UnreadInputChannel> dialled = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> closed = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> over = new LinkedBlockingQueue<>();
+    private volatile boolean writesBlocked;
+    private final BlockingQueue<UnreadInputChannel> createdChannels = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closedIds = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> endedAfterCall = new LinkedBlockingQueue<>();
     private volatile int written;
-    private volatile boolean full;
-    private final BlockingQueue<String> waits = new LinkedBlockingQueue<>();
-    /** Where a test moves the clock of idle connections itself. */
+    private volatile boolean journalFull;
+    private final BlockingQueue<String> retryAfters = new LinkedBlockingQueue<>();
+    /** The clock for idle connections, in tests that move it themselves. */
     private final AtomicLong nanos = new AtomicLong();
     private Endpoints endpoints;
     private StubServer stub;
 
-    private final Endpoints.Callbacks told = new Endpoints.Callbacks() {
+    private final Endpoints.Callbacks callbacks = new Endpoints.Callbacks() {
         @Override
-        public void waitTold(long endpoint, double waitMs) {
-            waits.add(endpoint + " " + waitMs);
+        public void waitTold(long endpoint, double retryAfterMs) {
+            retryAfters.add(endpoint + " " + retryAfterMs);
         }
 
         @Override
@@ -81,42 +81,42 @@
         @Override
         public boolean mayStart(Endpoints.Call call) {
             beforeStart.run();
-            return !barred.contains(call.held.id);
+            return !withheldIds.contains(call.held.id);
         }
 
         @Override
         public void runWhenListIsCurrent(Runnable task) {
-            whenListNeeded.run();
+            beforeListCheck.run();
             task.run();
         }
 
         @Override
         public boolean begins(Endpoints.Call call) {
             beforeWrite.run();
-            return !full;
+            return !journalFull;
         }
 
         @Override
-        public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs,
-                boolean open) {
-            ends.add(new End(outcome, gone, waitMs, open));
+        public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
+                boolean exchangeOpen) {
+            ends.add(new End(outcome, messageEnded, retryAfterMs, exchangeOpen));
         }
 
         @Override
         public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-            over.add(call.held.id + " " + delivered);
+            endedAfterCall.add(call.held.id + " " + delivered);
         }
 
         @Override
         public void closed(Endpoints.Call call) {
-            closed.add(call.held.id);
+            closedIds.add(call.held.id);
         }
     };
 
     @BeforeEach
     void open() throws Exception {
         stub = new StubServer(StubServer.status(200, ""));
-        endpoints = new Endpoints(loop, 1000, 15_000, SENDERS, 4, told);
+        endpoints = new Endpoints(loop, 1000, 15_000, SENDERS, 4, callbacks);
         updateEndpoint(stub.address());
     }
 
@@ -150,27 +150,27 @@
         return end();
     }
 
-    private void expect(Outcome outcome, StubServer.Script script) throws Exception {
+    private void assertOutcome(Outcome outcome, StubServer.Script script) throws Exception {
         assertEquals(new End(outcome, false, 0), call(script));
     }
 
     @Test
-    void idKeyBodyAndBudgetGoOn() throws Exception {
+    void requestCarriesIdKeyBodyAndRemainingBudget() throws Exception {
         long begun = System.nanoTime();
         beforeStart = () -> {
             beforeStart = () -> { };
-            spinFor(HELD_UP_MS);
+            spinFor(STALL_MS);
         };
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        StubServer.Message m = stub.requests.get(0);
-        assertEquals("POST /v1/messages HTTP/1.1", m.line());
-        assertEquals("id-1", m.header("X-Call-Id"));
-        assertEquals("key-1", m.header("Idempotency-Key"));
-        long tookMs = 1 + TimeUnit.NANOSECONDS.toMillis(m.atNanos() - begun);
-        long budgetMs = Long.parseLong(m.header("X-Budget-Ms"));
-        assertTrue(budgetMs <= LONG_MS - HELD_UP_MS, "the time that is left, not what there was: " + budgetMs);
-        assertTrue(budgetMs >= LONG_MS - tookMs, "no less than what is left: " + budgetMs);
-        assertEquals("body", m.body());
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        StubServer.Message request = stub.requests.get(0);
+        assertEquals("POST /v1/messages HTTP/1.1", request.line());
+        assertEquals("id-1", request.header("X-Call-Id"));
+        assertEquals("key-1", request.header("Idempotency-Key"));
+        long elapsedMs = 1 + TimeUnit.NANOSECONDS.toMillis(request.atNanos() - begun);
+        long budgetMs = Long.parseLong(request.header("X-Budget-Ms"));
+        assertTrue(budgetMs <= LONG_MS - STALL_MS, "at most the remaining time, not the initial one: " + budgetMs);
+        assertTrue(budgetMs >= LONG_MS - elapsedMs, "at least the remaining time: " + budgetMs);
+        assertEquals("body", request.body());
     }
 
     private static void spinFor(long ms) {
@@ -181,38 +181,38 @@
     }
 
     @Test
-    void statusesMeanWhatTheTableSays() throws Exception {
-        expect(Outcome.ERROR, StubServer.status(500, ""));
+    void statusesMapToOutcomes() throws Exception {
+        assertOutcome(Outcome.ERROR, StubServer.status(500, ""));
         assertEquals(new End(Outcome.FULL, false, 1250), call(StubServer.status(429, "Retry-After: 1.25\r\n")));
-        expect(Outcome.FULL, StubServer.status(503, ""));
-        expect(Outcome.NOT_SENT, StubServer.status(503, "X-No-Slot: 1\r\n"));
-        expect(Outcome.NOT_SENT, StubServer.status(504, ""));
+        assertOutcome(Outcome.FULL, StubServer.status(503, ""));
+        assertOutcome(Outcome.NOT_SENT, StubServer.status(503, "X-No-Slot: 1\r\n"));
+        assertOutcome(Outcome.NOT_SENT, StubServer.status(504, ""));
         assertEquals(new End(Outcome.NOT_SENT, true, 0), call(StubServer.status(410, "")));
     }
 
     @Test
-    void aConnectionThatBreaksAfterTheLastByteIsBroken() throws Exception {
-        expect(Outcome.BROKEN, (request, socket) -> socket.close());
-        expect(Outcome.BROKEN, (request, socket) -> socket.shutdownOutput());
-        expect(Outcome.BROKEN, (request, socket) -> StubServer.write(socket, "not HTTP at all\r\n\r\n"));
-        assertEquals(3, stub.requests.size(), "each was sent once");
+    void connectionLossAfterLastByteIsBroken() throws Exception {
+        assertOutcome(Outcome.BROKEN, (request, socket) -> socket.close());
+        assertOutcome(Outcome.BROKEN, (request, socket) -> socket.shutdownOutput());
+        assertOutcome(Outcome.BROKEN, (request, socket) -> StubServer.write(socket, "not HTTP at all\r\n\r\n"));
+        assertEquals(3, stub.requests.size(), "each request was sent once");
     }
 
-    /** The journal can't take it, so it must not go out, over a new connection or a kept one. */
+    /** A call that the journal can't record must not be sent, neither over a new connection nor over an idle one. */
     @Test
-    void whatMayNotBeginIsNotSentAndItsConnectionIsKept() throws Exception {
-        full = true;
-        expect(Outcome.NOT_SENT, StubServer.status(200, ""));
-        expect(Outcome.NOT_SENT, StubServer.status(200, ""));
-        full = false;
-        awaitKept();
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+    void callThatMayNotBeginIsNotSentAndItsConnectionIsKept() throws Exception {
+        journalFull = true;
+        assertOutcome(Outcome.NOT_SENT, StubServer.status(200, ""));
+        assertOutcome(Outcome.NOT_SENT, StubServer.status(200, ""));
+        journalFull = false;
+        awaitIdleConnection();
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.size());
         assertEquals(0, stub.requests.get(0).connection());
     }
 
     @Test
-    void aRefusedConnectionIsUnreachable() throws Exception {
+    void refusedConnectionIsUnreachable() throws Exception {
         ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         InetSocketAddress address = (InetSocketAddress) unused.getLocalSocketAddress();
         unused.close();
@@ -221,10 +221,10 @@
         assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
     }
 
-    /** It held its descriptor until the dial timed out, though its slot was free for the next one. */
+    /** Guards against a socket that holds a file descriptor until the connect times out, although its slot is free. */
     @Test
-    void aDialThatNobodyWaitsForIsGivenUp() throws Exception {
-        // A backlog that is full leaves further connections coming up.
+    void abandonedConnectIsClosed() throws Exception {
+        // With the backlog full, the system leaves further connects pending.
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             List<Socket> queue = new ArrayList<>();
@@ -232,11 +232,13 @@
                 for (int i = 0; i < 2; i++) {
                     queue.add(new Socket(address.getAddress(), address.getPort()));
                 }
-                endpoints = new Endpoints(loop, System::nanoTime, NotedChannel::new, LONG_MS, 15_000, SENDERS, 4, told);
+                endpoints = new Endpoints(loop, System::nanoTime, RecordedChannel::new, LONG_MS, 15_000, SENDERS, 4,
+                        callbacks);
                 updateEndpoint(address);
                 start(new byte[1], 50);
                 assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
-                assertTrue(dialled.poll(30, TimeUnit.SECONDS).closeFuture().await(5, TimeUnit.SECONDS), "closed");
+                assertTrue(createdChannels.poll(30, TimeUnit.SECONDS).closeFuture().await(5, TimeUnit.SECONDS),
+                        "closed");
             } finally {
                 for (Socket socket : queue) {
                     socket.close();
@@ -245,18 +247,18 @@
         }
     }
 
-    private final class NotedChannel extends UnreadInputChannel {
-        NotedChannel() {
-            dialled.add(this);
+    private final class RecordedChannel extends UnreadInputChannel {
+        RecordedChannel() {
+            createdChannels.add(this);
         }
     }
 
     @Test
-    void aConnectionThatBreaksBeforeTheLastByteIsUnreachable() throws Exception {
-        try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            updateEndpoint((InetSocketAddress) full.getLocalSocketAddress());
+    void connectionLossBeforeLastByteIsUnreachable() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            updateEndpoint((InetSocketAddress) server.getLocalSocketAddress());
             start(new byte[64 << 20], LONG_MS);
-            try (Socket socket = full.accept()) {
+            try (Socket socket = server.accept()) {
                 socket.getInputStream().read();
                 socket.setSoLinger(true, 0);
             }
@@ -265,36 +267,37 @@
     }
 
     @Test
-    void silenceIsATimeOutAndClosesTheConnection() throws Exception {
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        awaitKept();
+    void silenceTimesOutAndClosesConnection() throws Exception {
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        awaitIdleConnection();
         stub.script(StubServer.silent());
         start(new byte[1], SHORT_MS);
         assertEquals(new End(Outcome.TIMED_OUT, false, 0), end());
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        assertEquals(1, stub.requests.get(stub.requests.size() - 1).connection(), "a late answer must not meet the next call");
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertEquals(1, stub.requests.get(stub.requests.size() - 1).connection(),
+                "a late answer must not be read for the next call");
     }
 
     @Test
-    void aCancelledCallEndsOnceAndClosesTheConnection() throws Exception {
+    void cancelledCallEndsOnceAndClosesConnection() throws Exception {
         stub.script(StubServer.silent());
         Endpoints.Call call = start(new byte[1], LONG_MS);
         StubServer.await("the call arrives", () -> !stub.requests.isEmpty());
         loop.submit(() -> endpoints.cancel(call)).syncUninterruptibly();
         assertEquals(new End(Outcome.CANCELLED, false, 0), end());
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.get(1).connection());
     }
 
-    /** Ends of calls that share an exchange, in the order of their ids. */
-    private List<End> together(int many, StubServer.Script script) throws Exception {
+    /** Sends calls that share an exchange; returns their ends in the order of their ids. */
+    private List<End> callTogether(int many, StubServer.Script script) throws Exception {
         stub.script(script);
         startTogether(many);
-        List<End> in = new ArrayList<>();
+        List<End> results = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            in.add(end());
+            results.add(end());
         }
-        return in;
+        return results;
     }
 
     private List<Endpoints.Call> startTogether(int many) throws Exception {
@@ -317,41 +320,41 @@
     }
 
     @Test
-    void callsOfOneTurnToOneEndpointTravelAsOneAsFarAsItsKindAllows() throws Exception {
-        List<End> in = together(3, answer("Retry-After: 0.5\r\n",
+    void callsOfOneTurnShareRequestUpToBatchSize() throws Exception {
+        List<End> results = callTogether(3, answer("Retry-After: 0.5\r\n",
                 "id-2 fault\r\nid-0 accepted\r\nid-1 deferred\r\n"));
         assertEquals(List.of(new End(Outcome.DELIVERED, false, 0), new End(Outcome.FULL, false, 500),
-                new End(Outcome.ERROR, false, 500)), in);
+                new End(Outcome.ERROR, false, 500)), results);
         assertEquals(1, stub.requests.size());
         assertEquals("POST /v1/messages:batch HTTP/1.1", stub.requests.get(0).line());
         assertEquals("id-0 key-0 7\r\nbody\r\n0\r\nid-1 - 7\r\nbody\r\n1\r\nid-2 key-2 7\r\nbody\r\n2\r\n",
                 stub.requests.get(0).body());
         startTogether(4);
-        StubServer.await("three as one, and the fourth", () -> stub.requests.size() == 3);
+        StubServer.await("one request with three messages, and the fourth", () -> stub.requests.size() == 3);
         assertEquals(1, stub.requests.stream().filter(r -> r.line().startsWith("POST /v1/messages ")).count());
     }
 
     @Test
-    void anExchangeThatFailsWholeEndsAllItsCallsAlike() throws Exception {
+    void failedExchangeEndsAllItsCallsAlike() throws Exception {
         End full = new End(Outcome.FULL, false, 1250);
-        assertEquals(List.of(full, full), together(2, StubServer.status(429, "Retry-After: 1.25\r\n")));
+        assertEquals(List.of(full, full), callTogether(2, StubServer.status(429, "Retry-After: 1.25\r\n")));
         End never = new End(Outcome.NOT_SENT, false, 0);
-        assertEquals(List.of(never, never), together(2, StubServer.status(413, "")));
+        assertEquals(List.of(never, never), callTogether(2, StubServer.status(413, "")));
         assertEquals(List.of(never, new End(Outcome.NOT_SENT, true, 0)),
-                together(2, answer("", "id-0 no_more\r\nid-1 expired\r\n")));
+                callTogether(2, answer("", "id-0 no_more\r\nid-1 expired\r\n")));
         End unknown = new End(Outcome.ERROR, false, 0);
         assertEquals(List.of(new End(Outcome.DELIVERED, false, 0), unknown),
-                together(2, answer("", "id-0 accepted\r\nrubbish\r\nid-1 perhaps\r\n")));
+                callTogether(2, answer("", "id-0 accepted\r\nrubbish\r\nid-1 perhaps\r\n")));
         End broken = new End(Outcome.BROKEN, false, 0);
-        assertEquals(List.of(broken, broken), together(2, (request, socket) -> {
+        assertEquals(List.of(broken, broken), callTogether(2, (request, socket) -> {
             StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nid-0 accepted\r\n");
             socket.close();
         }));
     }
 
     @Test
-    void whatMayNotGoAnyMoreWhenItsConnectionIsUpIsNotSent() throws Exception {
-        barOnceConnectionIsUp("id-1", 3);
+    void callWithheldOnceConnectedIsNotSent() throws Exception {
+        withholdOnceConnected("id-1", 3);
         End sent = new End(Outcome.DELIVERED, false, 0);
         stub.script(answer("", "id-0 accepted\r\nid-2 accepted\r\n"));
         startTogether(3);
@@ -360,85 +363,85 @@
         assertFalse(stub.requests.get(0).body().contains("id-1"));
     }
 
-    /** Of each call it is asked whether it may start before its connection is made, and again once that is up. */
-    private void barOnceConnectionIsUp(String id, int calls) {
+    /** Withholds a message once its connection is up: mayStart is asked for each call before the connect and after it. */
+    private void withholdOnceConnected(String id, int calls) {
         AtomicInteger asked = new AtomicInteger();
         beforeStart = () -> {
             if (asked.incrementAndGet() > calls) {
-                barred.add(id);
+                withheldIds.add(id);
             }
         };
     }
 
     @Test
-    void whatMayNotGoAnyMoreBeforeItsConnectionIsMadeIsNotSent() throws Exception {
-        barred.add("id-1");
+    void callWithheldBeforeConnectIsNotSent() throws Exception {
+        withheldIds.add("id-1");
         start(new byte[1], LONG_MS);
         assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
-        barred.clear();
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        withheldIds.clear();
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.size());
     }
 
     @Test
-    void aConnectionThatComesUpForNothingIsKept() throws Exception {
-        barOnceConnectionIsUp("id-1", 1);
+    void unneededNewConnectionIsKept() throws Exception {
+        withholdOnceConnected("id-1", 1);
         start(new byte[1], LONG_MS);
         assertEquals(new End(Outcome.NOT_SENT, false, 0), end());
-        awaitKept();
+        awaitIdleConnection();
         beforeStart = () -> { };
-        barred.clear();
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        withheldIds.clear();
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.size());
         assertEquals(0, stub.requests.get(0).connection());
     }
 
-    /** Its head is heeded at once, but until its last byte is read the call may have run. */
+    /** Retry-After takes effect with the head, but the call may have run until the last byte is read. */
     @Test
-    void aToldWaitIsHeededFromItsHeadAndRunsFromTheLastByteOfItsAnswer() throws Exception {
+    void retryAfterIsReportedWithHeadAndAgainWithLastByte() throws Exception {
         stub.script((request, socket) -> StubServer.write(socket, request.connection() == 0
                 ? "HTTP/1.1 429 x\r\nRetry-After: 1.5\r\nContent-Length: 4\r\n\r\nfu"
                 : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"));
         start(new byte[1], LONG_MS);
         StubServer.await("the first call", () -> stub.requests.size() == 1);
-        assertEquals("1 1500.0", waits.poll(30, TimeUnit.SECONDS));
+        assertEquals("1 1500.0", retryAfters.poll(30, TimeUnit.SECONDS));
         start(new byte[1], LONG_MS);
         assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-        // What came before this answer has been read by now, and what it led to is done.
+        // Input that arrived before this answer has been read by now, and the tasks it led to have run.
         loop.submit(() -> { }).sync();
-        assertTrue(ends.isEmpty() && waits.isEmpty(), "it is not whole yet");
+        assertTrue(ends.isEmpty() && retryAfters.isEmpty(), "the first answer is not complete yet");
         stub.answerAll("ll");
         assertEquals(new End(Outcome.FULL, false, 1500), end());
-        assertEquals("1 1500.0", waits.poll(30, TimeUnit.SECONDS));
+        assertEquals("1 1500.0", retryAfters.poll(30, TimeUnit.SECONDS));
     }
 
-    // ---- what proves that a call never ran ----
+    // ---- which answers prove that a call never ran ----
 
-    /** An endpoint that ran the call, or may have, and whose refusal can't be read to its end. */
-    private void expectMayHaveRun(String answer) throws Exception {
+    /** Asserts that a call counts as possibly run, whose endpoint sends this answer and closes the connection. */
+    private void assertMayHaveRun(String answer) throws Exception {
         End end = call((request, socket) -> {
             StubServer.write(socket, answer);
             socket.close();
         });
         assertTrue(end.outcome().mayHaveRun(), end + " after " + answer);
-        assertFalse(end.gone(), "it is not over: " + answer);
+        assertFalse(end.messageEnded(), "the message has not ended: " + answer);
     }
 
-    /** A body that is cut short, or can't be read, was taken for a refusal at its head, and the call was repeated. */
+    /** Guards against trusting the head of a refusal whose body is truncated or invalid, and repeating the call. */
     @Test
-    void aRefusalThatIsNotReadWholeProvesNothing() throws Exception {
+    void truncatedOrInvalidRefusalProvesNothing() throws Exception {
         for (String status : List.of("429 x", "503 x", "503 x\r\nX-No-Slot: 1", "504 x", "410 x")) {
-            expectMayHaveRun("HTTP/1.1 " + status + "\r\nContent-Length: 40\r\n\r\nbusy");
-            expectMayHaveRun("HTTP/1.1 " + status + "\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbusy\r\n");
-            expectMayHaveRun("HTTP/1.1 " + status + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbusy\r\n");
-            expectMayHaveRun("HTTP/1.1 " + status + "\r\n\r\nno length, so its end is not known");
-            expectMayHaveRun("HTTP/1.1 " + status + "\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbusy");
-            expectMayHaveRun("HTTP/1.1 " + status + "\r\nTransfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbusy");
+            assertMayHaveRun("HTTP/1.1 " + status + "\r\nContent-Length: 40\r\n\r\nbusy");
+            assertMayHaveRun("HTTP/1.1 " + status + "\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nbusy\r\n");
+            assertMayHaveRun("HTTP/1.1 " + status + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbusy\r\n");
+            assertMayHaveRun("HTTP/1.1 " + status + "\r\n\r\nno length, so its end is not known");
+            assertMayHaveRun("HTTP/1.1 " + status + "\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbusy");
+            assertMayHaveRun("HTTP/1.1 " + status + "\r\nTransfer-Encoding: gzip\r\nContent-Length: 4\r\n\r\nbusy");
         }
     }
 
     @Test
-    void aWaitThatIsToldInARefusalThatIsCutShortIsHeeded() throws Exception {
+    void retryAfterOfTruncatedRefusalIsReported() throws Exception {
         End end = call((request, socket) -> {
             StubServer.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 1.5\r\nContent-Length: 4\r\n\r\nfu");
             socket.close();
@@ -447,86 +450,86 @@
     }
 
     @Test
-    void aBodyThatNeverEndsProvesNothing() throws Exception {
+    void bodyThatNeverEndsProvesNothing() throws Exception {
         stub.script((request, socket) -> StubServer.write(socket, "HTTP/1.1 503 x\r\nContent-Length: 4\r\n\r\nbu"));
         start(new byte[1], 100);
         assertEquals(new End(Outcome.TIMED_OUT, false, 0), end());
     }
 
     @Test
-    void aFirstLineThatSaysDeliveredIsTrueWhateverFollowsIt() throws Exception {
+    void statusLineWith200IsDeliveredWhateverFollows() throws Exception {
         for (String rest : List.of("", "Content-Length: x\r\n\r\n", "Content-Length: 9\r\n\r\nhalf", "no header\r\n",
                 "Transfer-Encoding: chunked\r\n\r\nzz\r\n")) {
-            expect(Outcome.DELIVERED, (request, socket) -> {
+            assertOutcome(Outcome.DELIVERED, (request, socket) -> {
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\n" + rest);
                 socket.close();
             });
         }
-        expectMayHaveRun("HTTP/1.1 200 O");
+        assertMayHaveRun("HTTP/1.1 200 O");
     }
 
     @Test
-    void twoAnswersInOneProveNothing() throws Exception {
+    void twoMixedAnswersProveNothing() throws Exception {
         String whole = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         for (String before : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nX-Left: ",
                 "HTTP/1.1 503 x\r\nContent-Length: " + whole.length() + "\r\n\r\n",
                 "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) {
-            expectMayHaveRun(before + whole);
+            assertMayHaveRun(before + whole);
         }
     }
 
-    /** Stray bytes on a resting connection stood before the next answer: a delivery was read as a refusal. */
+    /** Stray bytes on an idle connection came before the next answer, so that a delivery was read as a refusal. */
     @Test
-    void bytesOnARestingConnectionMakeItUnusable() throws Exception {
-        // The clock stands, so nothing is closed for its age.
-        endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, told);
+    void bytesOnIdleConnectionMakeItUnusable() throws Exception {
+        // The clock stands still, so no connection is closed for its age.
+        endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, callbacks);
         updateEndpoint(stub.address());
         for (String stray : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "\r\n", "x")) {
-            expect(Outcome.DELIVERED, this::deliveredAndNoted);
-            awaitKept();
-            StubServer.write(sides.get(sides.size() - 1), stray);
+            assertOutcome(Outcome.DELIVERED, this::answerAndRecordSocket);
+            awaitIdleConnection();
+            StubServer.write(serverSockets.get(serverSockets.size() - 1), stray);
             StubServer.await("its connection is closed", () -> idleConnections() == 0);
-            expect(Outcome.DELIVERED, StubServer.status(200, ""));
-            awaitKept();
-            closeKept();
+            assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+            awaitIdleConnection();
+            closeIdleConnections();
         }
     }
 
-    /** The same, while the bytes lie unread in the socket when the next call takes the connection. */
+    /** The same, with the bytes still unread in the socket when the next call takes the connection. */
     @Test
-    void bytesThatLieUnreadMakeAConnectionUnusable() throws Exception {
+    void unreadBytesMakeConnectionUnusable() throws Exception {
         for (String stray : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "\r\n")) {
             AcceptedMessage held = new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7,
                     0, new byte[1]);
-            expect(Outcome.DELIVERED, this::deliveredAndNoted);
-            awaitKept();
+            assertOutcome(Outcome.DELIVERED, this::answerAndRecordSocket);
+            awaitIdleConnection();
             int used = stub.requests.get(stub.requests.size() - 1).connection();
             loop.submit(() -> {
-                // The loop reads nothing until this returns; on loopback what is written has come.
-                StubServer.write(sides.get(sides.size() - 1), stray);
+                // The loop reads nothing until this returns; on loopback, written bytes have arrived at once.
+                StubServer.write(serverSockets.get(serverSockets.size() - 1), stray);
                 endpoints.call(held, 0, 1, LONG_MS);
                 endpoints.flush();
                 return null;
             }).sync();
             assertEquals(new End(Outcome.DELIVERED, false, 0), end());
             assertTrue(stub.requests.get(stub.requests.size() - 1).connection() > used, "over a new connection");
-            awaitKept();
-            closeKept();
+            awaitIdleConnection();
+            closeIdleConnections();
         }
     }
 
-    /** Half a line right behind a whole answer, in the same read, waited in the codec for the next one. */
+    /** Half a status line right after a complete answer, in the same read, stayed in the codec for the next answer. */
     @Test
-    void bytesBehindAnAnswerMakeItsConnectionUnusable() throws Exception {
-        expect(Outcome.DELIVERED, (request, socket) -> StubServer.write(socket,
+    void bytesAfterAnswerMakeConnectionUnusable() throws Exception {
+        assertOutcome(Outcome.DELIVERED, (request, socket) -> StubServer.write(socket,
                 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 503 Serv"));
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.get(1).connection());
     }
 
-    /** An answer that comes before the request's last byte is no answer to it. */
+    /** Bytes that arrive before the last byte of the request is written can't answer it. */
     @Test
-    void bytesBeforeTheLastByteOfTheRequestProveNothing() throws Exception {
+    void bytesBeforeLastByteOfRequestProveNothing() throws Exception {
         try (ServerSocket early = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             updateEndpoint((InetSocketAddress) early.getLocalSocketAddress());
             start(new byte[64 << 20], LONG_MS);
@@ -538,11 +541,11 @@
         }
     }
 
-    /** A connection of which nothing goes out until a test lets it. */
-    private final class SlowChannel extends UnreadInputChannel {
+    /** A connection that writes nothing until a test allows it. */
+    private final class BlockableChannel extends UnreadInputChannel {
         @Override
         protected void doWrite(ChannelOutboundBuffer pending) throws Exception {
-            if (slow) {
+            if (writesBlocked) {
                 loop.schedule(this::flush, 1, TimeUnit.MILLISECONDS);
             } else {
                 super.doWrite(pending);
@@ -550,12 +553,12 @@
         }
     }
 
-    /** One call of an exchange times out while the request is still being written, for the other one too. */
+    /** One call of an exchange times out while the request, which the other call still needs, is being written. */
     @Test
-    void aCallWhoseTimeIsUpBeforeTheRequestIsOutMayStillRunWithTheOthers() throws Exception {
-        endpoints = new Endpoints(loop, System::nanoTime, SlowChannel::new, 1000, 15_000, SENDERS, 4, told);
+    void callTimedOutBeforeRequestIsWrittenMayRunWithTheOthers() throws Exception {
+        endpoints = new Endpoints(loop, System::nanoTime, BlockableChannel::new, 1000, 15_000, SENDERS, 4, callbacks);
         updateEndpoint(stub.address());
-        slow = true;
+        writesBlocked = true;
         AcceptedMessage other =
                 new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[1]);
         stub.script(answer("", "id-1 accepted\r\nid-2 accepted\r\n"));
@@ -565,82 +568,83 @@
         }).sync();
         start(new byte[1], 50);
         assertEquals(new End(Outcome.TIMED_OUT, false, 0, true), end());
-        slow = false;
-        assertEquals(new End(Outcome.DELIVERED, false, 0), end(), "the answer names it, whoever has left");
-        assertEquals("id-1 true", over.poll(30, TimeUnit.SECONDS), "the answer names this one too");
-        assertTrue(stub.requests.get(0).body().contains("id-1"), "it went out all the same");
-        assertEquals("id-1", closed.poll(30, TimeUnit.SECONDS));
+        writesBlocked = false;
+        assertEquals(new End(Outcome.DELIVERED, false, 0), end(),
+                "the answer names it, although the other call was abandoned");
+        assertEquals("id-1 true", endedAfterCall.poll(30, TimeUnit.SECONDS), "the answer names the abandoned one too");
+        assertTrue(stub.requests.get(0).body().contains("id-1"), "it was sent all the same");
+        assertEquals("id-1", closedIds.poll(30, TimeUnit.SECONDS));
     }
 
-    /** Alone, its connection is closed with it: the last byte never goes out. */
+    /** The connection of a single call is closed with it, so the last byte is never sent. */
     @Test
-    void aCallWhoseTimeIsUpBeforeItsRequestIsOutNeverRan() throws Exception {
-        endpoints = new Endpoints(loop, System::nanoTime, SlowChannel::new, 1000, 15_000, SENDERS, 4, told);
+    void singleCallTimedOutBeforeRequestIsWrittenNeverRan() throws Exception {
+        endpoints = new Endpoints(loop, System::nanoTime, BlockableChannel::new, 1000, 15_000, SENDERS, 4, callbacks);
         updateEndpoint(stub.address());
-        slow = true;
+        writesBlocked = true;
         start(new byte[1], 50);
         assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
-        slow = false;
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        writesBlocked = false;
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.size());
     }
 
     @Test
-    void theLastToLeaveAnExchangeClosesIt() throws Exception {
+    void lastAbandonedCallClosesExchange() throws Exception {
         stub.script(StubServer.silent());
         List<Endpoints.Call> calls = startTogether(2);
         StubServer.await("the exchange arrives", () -> !stub.requests.isEmpty());
         loop.submit(() -> calls.forEach(endpoints::cancel)).syncUninterruptibly();
         assertEquals(new End(Outcome.CANCELLED, false, 0, true), end());
         assertEquals(new End(Outcome.CANCELLED, false, 0, false), end());
-        assertEquals("id-0", closed.poll(30, TimeUnit.SECONDS));
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertEquals("id-0", closedIds.poll(30, TimeUnit.SECONDS));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.get(1).connection());
     }
 
     @Test
-    void aConnectionIsKeptForTheNextCallAfterAnyWholeAnswer() throws Exception {
-        expect(Outcome.DELIVERED, (request, socket) -> {
+    void connectionIsReusedAfterAnyCompleteAnswer() throws Exception {
+        assertOutcome(Outcome.DELIVERED, (request, socket) -> {
             for (char c : "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .toCharArray()) {
                 StubServer.write(socket, String.valueOf(c));
             }
             StubServer.write(socket, "3\r\nabc\r\n0\r\n\r\n");
         });
-        awaitKept();
-        expect(Outcome.ERROR, StubServer.status(500, ""));
-        awaitKept();
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        awaitIdleConnection();
+        assertOutcome(Outcome.ERROR, StubServer.status(500, ""));
+        awaitIdleConnection();
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(0, stub.requests.get(2).connection());
     }
 
     @Test
-    void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
-        expect(Outcome.DELIVERED, (request, socket) -> {
+    void connectionClosedByEndpointIsNotReused() throws Exception {
+        assertOutcome(Outcome.DELIVERED, (request, socket) -> {
             StubServer.status(200, "").come(request, socket);
             socket.close();
         });
         StubServer.await("the close is noticed", () -> idleConnections() == 0);
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        expect(Outcome.DELIVERED, StubServer.status(200, "Connection: close\r\n"));
-        StubServer.await("the announced close is kept", () -> idleConnections() == 0);
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, "Connection: close\r\n"));
+        StubServer.await("the announced close is carried out", () -> idleConnections() == 0);
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
     }
 
-    // ---- events that cross ----
+    // ---- events that cross each other ----
 
-    /** The endpoint's side of each connection, in the order of the requests that it has read. */
-    private final List<Socket> sides = new CopyOnWriteArrayList<>();
+    /** The endpoint's socket for each request, in the order in which it read them. */
+    private final List<Socket> serverSockets = new CopyOnWriteArrayList<>();
 
-    private Endpoints.Call out(double timeoutMs) throws Exception {
-        stub.script((request, socket) -> sides.add(socket));
+    private Endpoints.Call callInFlight(double timeoutMs) throws Exception {
+        stub.script((request, socket) -> serverSockets.add(socket));
         Endpoints.Call call = start(new byte[1], timeoutMs);
-        StubServer.await("the call arrives", () -> sides.size() == 1);
+        StubServer.await("the call arrives", () -> serverSockets.size() == 1);
         return call;
     }
 
-    private void deliveredAndNoted(StubServer.Message request, Socket socket) {
-        sides.add(socket);
+    private void answerAndRecordSocket(StubServer.Message request, Socket socket) {
+        serverSockets.add(socket);
         answer(socket);
     }
 
@@ -653,21 +657,21 @@
     }
 
     /**
-     * While the loop reads, an answer comes to another connection and its call's time passes: the time-out went
-     * first, and a message that was delivered was sent again or given up.
+     * While the loop reads, an answer arrives on another connection and the time-out of its call passes. When the
+     * time-out was handled first, a delivered message was sent again or failed.
      */
     @Test
-    void anAnswerThatLiesInTheSocketGoesBeforeATimeOutThatIsDue() throws Exception {
+    void unreadAnswerPrecedesDueTimeOut() throws Exception {
         double timeoutMs = 4000;
-        Endpoints.Call first = out(timeoutMs);
+        Endpoints.Call first = callInFlight(timeoutMs);
         stub.script(StubServer.status(200, ""));
-        // Told while the loop reads, as the second connection is up: nothing else is read until this returns.
-        AtomicInteger waits = new AtomicInteger();
-        whenListNeeded = () -> {
-            if (waits.incrementAndGet() != 2) {
+        // Runs while the loop reads that the second connection is up; nothing else is read until this returns.
+        AtomicInteger listChecks = new AtomicInteger();
+        beforeListCheck = () -> {
+            if (listChecks.incrementAndGet() != 2) {
                 return;
             }
-            answer(sides.get(0));
+            answer(serverSockets.get(0));
             while (System.nanoTime() < first.startedNanos + (timeoutMs + 5) * 1e6) {
                 Thread.onSpinWait();
             }
@@ -678,36 +682,36 @@
     }
 
     @Test
-    void aCancelThatCrossesTheAnswerIsTheOneEnd() throws Exception {
-        Endpoints.Call call = out(LONG_MS);
+    void cancelBeforeUnreadAnswerIsTheOnlyEnd() throws Exception {
+        Endpoints.Call call = callInFlight(LONG_MS);
         loop.submit(() -> {
-            answer(sides.get(0));
+            answer(serverSockets.get(0));
             endpoints.cancel(call);
         }).sync();
         assertEquals(new End(Outcome.CANCELLED, false, 0), end());
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        assertEquals(1, stub.requests.get(1).connection(), "the late answer must not meet the next call");
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertEquals(1, stub.requests.get(1).connection(), "the late answer must not be read for the next call");
         assertTrue(ends.isEmpty());
     }
 
     @Test
-    void aCancelAfterTheAnswerWasReadChangesNothing() throws Exception {
-        Endpoints.Call call = out(LONG_MS);
-        answer(sides.get(0));
+    void cancelAfterAnswerChangesNothing() throws Exception {
+        Endpoints.Call call = callInFlight(LONG_MS);
+        answer(serverSockets.get(0));
         assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-        awaitKept();
+        awaitIdleConnection();
         loop.submit(() -> endpoints.cancel(call)).sync();
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        assertEquals(0, stub.requests.get(1).connection(), "its connection is another call's by now");
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertEquals(0, stub.requests.get(1).connection(), "its connection serves other calls by now");
         assertTrue(ends.isEmpty());
     }
 
-    /** The close comes once the next call has chosen the connection, just before it is written whole. */
+    /** The close arrives after the next call has chosen the connection, just before its request is written. */
     @Test
-    void aCallThatCrossesTheEndpointsCloseMayHaveRunAndItsConnectionCountsOnce() throws Exception {
+    void callThatCrossesCloseMayHaveRunAndItsConnectionCountsOnce() throws Exception {
         CountDownLatch chosen = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
-        closeOnceChosen(chosen, closed);
+        closeOnceConnectionIsChosen(chosen, closed);
         beforeWrite = () -> {
             chosen.countDown();
             awaitQuietly(closed);
@@ -717,17 +721,17 @@
         beforeWrite = () -> { };
         assertEquals(1, stub.requests.size(), "the endpoint never read it");
         assertEquals(0, idleConnections());
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        awaitKept();
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        awaitIdleConnection();
         assertTrue(ends.isEmpty());
     }
 
-    /** The close lies unread in the socket when the next call chooses a connection: it takes a new one. */
+    /** The close is still unread in the socket when the next call chooses a connection: the call uses a new one. */
     @Test
-    void aCloseThatLiesUnreadCostsTheNextCallNothing() throws Exception {
+    void unreadCloseDoesNotAffectNextCall() throws Exception {
         CountDownLatch chosen = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
-        closeOnceChosen(chosen, closed);
+        closeOnceConnectionIsChosen(chosen, closed);
         AcceptedMessage held =
                 new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[1]);
         loop.submit(() -> {
@@ -743,15 +747,15 @@
         assertTrue(ends.isEmpty());
     }
 
-    /** Closed by the thread that reads it: one that stood in a read might still get the request. */
-    private void closeOnceChosen(CountDownLatch chosen, CountDownLatch closed) throws Exception {
-        expect(Outcome.DELIVERED, (request, socket) -> {
+    /** Closed by the thread that reads from the socket: a thread blocked in a read might still receive the request. */
+    private void closeOnceConnectionIsChosen(CountDownLatch chosen, CountDownLatch closed) throws Exception {
+        assertOutcome(Outcome.DELIVERED, (request, socket) -> {
             answer(socket);
             chosen.await();
             socket.close();
             closed.countDown();
         });
-        awaitKept();
+        awaitIdleConnection();
     }
 
     private static void awaitQuietly(CountDownLatch latch) {
@@ -763,60 +767,60 @@
     }
 
     @Test
-    void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        awaitKept();
+    void idleConnectionsOfDrainingEndpointAreClosed() throws Exception {
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        awaitIdleConnection();
         loop.submit(() -> endpoints.updateEndpoint(1, stub.address(), false, 2, 3)).syncUninterruptibly();
         assertEquals(0, idleConnections());
     }
 
-    /** Seen on calm+mass: idle connections of a few of 60 senders kept all others out for the whole day. */
+    /** Seen on calm+mass: idle connections of a few of 60 senders filled the tables and kept all others out all day. */
     @Test
-    void whereTablesAreFullIdleConnectionsAreSoonClosed() throws Exception {
-        expect(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+    void idleConnectionsAreClosedSoonWhereTablesAreFull() throws Exception {
+        assertOutcome(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(List.of(0, 1, 2), stub.requests.stream().map(StubServer.Message::connection).toList());
         StubServer.await("the idle connection is closed", () -> idleConnections() == 0);
     }
 
-    /** Seen on herd+mass: the next call came a second later, and idling was nearly half of the time in the table. */
+    /** Seen on herd+mass: the next call came a second later, and idle time was nearly half of the time in the table. */
     @Test
-    void whereTablesAreFullNoConnectionIdlesForACallThatUsuallyComesLater() throws Exception {
-        endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, told);
+    void noConnectionIsIdleWhereTablesAreFullAndNextCallUsuallyComesLater() throws Exception {
+        endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, callbacks);
         updateEndpoint(stub.address());
-        expect(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        assertEquals(1, idleConnections(), "nothing speaks against it yet");
+        assertOutcome(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        assertEquals(1, idleConnections(), "no gap between exchanges is known yet");
         for (int call = 0; call < 2; call++) {
             nanos.addAndGet(TimeUnit.SECONDS.toNanos(20));
-            expect(Outcome.DELIVERED, StubServer.status(200, ""));
+            assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         }
-        assertEquals(0, idleConnections(), "the next call would come after the 6 s that it may idle");
+        assertEquals(0, idleConnections(), "the next call would come after the 6 s that a connection may be idle");
         for (int call = 0; call < 3; call++) {
-            expect(Outcome.DELIVERED, StubServer.status(200, ""));
+            assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         }
         assertEquals(1, idleConnections(), "calls follow each other closely again");
     }
 
-    /** A refusal on a kept connection, or one that leaves a new one open, tells nothing of the table. */
+    /** A refusal on a reused connection, or one that keeps a new connection open, is no sign of a full table. */
     @Test
-    void aRefusedCallAloneMakesNoTableFull() throws Exception {
-        expect(Outcome.FULL, StubServer.status(503, ""));
-        awaitKept();
-        expect(Outcome.FULL, StubServer.status(503, "Connection: close\r\n"));
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
-        awaitKept();
-        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+    void refusedCallAloneDoesNotMeanFullTable() throws Exception {
+        assertOutcome(Outcome.FULL, StubServer.status(503, ""));
+        awaitIdleConnection();
+        assertOutcome(Outcome.FULL, StubServer.status(503, "Connection: close\r\n"));
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
+        awaitIdleConnection();
+        assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(List.of(0, 0, 1, 1), stub.requests.stream().map(StubServer.Message::connection).toList());
     }
 
-    private void closeKept() {
+    private void closeIdleConnections() {
         loop.submit(() -> endpoints.closeIdle(1)).syncUninterruptibly();
     }
 
-    private void awaitKept() throws Exception {
-        StubServer.await("the connection is kept", () -> idleConnections() == 1);
+    private void awaitIdleConnection() throws Exception {
+        StubServer.await("the connection is idle", () -> idleConnections() == 1);
     }
 
     private int idleConnections() {
