--- a/src/test/java/starlingvalve/net/EndpointListWaitTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListWaitTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy.Outcome;
 
-/** A call whose connection has come up while the list of endpoints was not known to be the newest. */
+/** Tests a call whose connection comes up while the list of endpoints is not known to be current. */
 class EndpointListWaitTest {
     private static final long ENDPOINT = 1;
     private static final double SHORT_MS = 200;
@@ -25,11 +25,11 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    /** What goes on once the list is the newest. */
-    private final BlockingQueue<Runnable> waiting = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Outcome> ended = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Endpoints.CloseReason> closed = new LinkedBlockingQueue<>();
-    private volatile boolean drains;
+    /** Tasks that wait for the list to be current. */
+    private final BlockingQueue<Runnable> waitingTasks = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Endpoints.CloseReason> closeReasons = new LinkedBlockingQueue<>();
+    private volatile boolean draining;
     private StubServer server;
     private Endpoints endpoints;
 
@@ -39,26 +39,27 @@
         endpoints = new Endpoints(loop, 1000, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
             @Override
             public void runWhenListIsCurrent(Runnable task) {
-                waiting.add(task);
+                waitingTasks.add(task);
             }
 
             @Override
             public boolean mayStart(Endpoints.Call call) {
-                return !drains;
+                return !draining;
             }
 
             @Override
-            public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs, boolean open) {
-                ended.add(outcome);
+            public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
+                    boolean exchangeOpen) {
+                outcomes.add(outcome);
             }
 
             @Override
-            public void connectionClosed(long endpoint, Endpoints.CloseReason reason, boolean underRequest, String cause,
-                    Endpoints.ConnectionUse use) {
-                closed.add(reason);
+            public void connectionClosed(long endpoint, Endpoints.CloseReason reason, boolean underRequest,
+                    String cause, Endpoints.ConnectionUse use) {
+                closeReasons.add(reason);
             }
         });
-        inLoop(() -> {
+        runInLoop(() -> {
             endpoints.updateEndpoint(ENDPOINT, server.address(), true, 0, 1);
             return null;
         });
@@ -70,71 +71,71 @@
         server.close();
     }
 
-    private <T> T inLoop(Callable<T> task) {
+    private <T> T runInLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
     /**
-     * Makes a call, which waits for the list before its connection is made, and again once that is up; what it returns
-     * goes on with it then.
+     * Starts a call, which waits for a current list before it connects, and again once its connection is up. Returns
+     * the task that continues the call after the second wait.
      */
-    private Runnable callThatWaits(double timeoutMs) throws InterruptedException {
+    private Runnable startCallThatWaits(double timeoutMs) throws InterruptedException {
         AcceptedMessage held =
                 new AcceptedMessage(0, "m", "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[5]);
-        inLoop(() -> {
+        runInLoop(() -> {
             endpoints.call(held, 0, ENDPOINT, timeoutMs);
             endpoints.flush();
             return null;
         });
-        goOn(waiting.poll(30, TimeUnit.SECONDS));
-        return waiting.poll(30, TimeUnit.SECONDS);
+        resume(waitingTasks.poll(30, TimeUnit.SECONDS));
+        return waitingTasks.poll(30, TimeUnit.SECONDS);
     }
 
-    private void goOn(Runnable task) {
-        inLoop(() -> {
+    private void resume(Runnable task) {
+        runInLoop(() -> {
             task.run();
             return null;
         });
     }
 
-    private Outcome end() throws InterruptedException {
-        return ended.poll(30, TimeUnit.SECONDS);
+    private Outcome nextOutcome() throws InterruptedException {
+        return outcomes.poll(30, TimeUnit.SECONDS);
     }
 
     @Test
-    void itGoesOutOnceTheListIsTheNewest() throws Exception {
-        Runnable task = callThatWaits(LONG_MS);
+    void callIsSentOnceListIsCurrent() throws Exception {
+        Runnable task = startCallThatWaits(LONG_MS);
         assertEquals(List.of(), server.requests);
-        goOn(task);
-        assertEquals(Outcome.DELIVERED, end());
+        resume(task);
+        assertEquals(Outcome.DELIVERED, nextOutcome());
     }
 
     @Test
-    void itDoesNotGoOutIfItsEndpointIsKnownToDrainByThen() throws Exception {
-        Runnable task = callThatWaits(LONG_MS);
-        drains = true;
-        goOn(task);
-        assertEquals(Outcome.NOT_SENT, end());
+    void callIsNotSentIfEndpointDrainsByThen() throws Exception {
+        Runnable task = startCallThatWaits(LONG_MS);
+        draining = true;
+        resume(task);
+        assertEquals(Outcome.NOT_SENT, nextOutcome());
         assertEquals(List.of(), server.requests);
-        assertEquals(1, inLoop(endpoints::idleConnections), "the connection serves the next call");
+        assertEquals(1, runInLoop(endpoints::idleConnections), "the connection serves the next call");
     }
 
     @Test
-    void itDoesNotGoOutIfItsTimeIsUpByThen() throws Exception {
-        Runnable task = callThatWaits(SHORT_MS);
-        Outcome outcome = end();
-        assertEquals(false, outcome.mayHaveRun(), "surely not sent: " + outcome);
-        goOn(task);
-        StubServer.await("the connection is kept", () -> inLoop(endpoints::idleConnections) == 1);
+    void callIsNotSentIfItHasTimedOutByThen() throws Exception {
+        Runnable task = startCallThatWaits(SHORT_MS);
+        Outcome outcome = nextOutcome();
+        assertEquals(false, outcome.mayHaveRun(), "certainly not sent: " + outcome);
+        resume(task);
+        StubServer.await("the connection is idle", () -> runInLoop(endpoints::idleConnections) == 1);
         assertEquals(List.of(), server.requests);
     }
 
     @Test
-    void aConnectionThatDiesMeanwhileCountsAsNeverMade() throws Exception {
-        Runnable task = callThatWaits(LONG_MS);
+    void connectionLostWhileWaitingIsUnreachable() throws Exception {
+        Runnable task = startCallThatWaits(LONG_MS);
         server.close();
-        assertEquals(Endpoints.CloseReason.PEER, closed.poll(30, TimeUnit.SECONDS));
-        goOn(task);
-        assertEquals(Outcome.UNREACHABLE, end());
+        assertEquals(Endpoints.CloseReason.PEER, closeReasons.poll(30, TimeUnit.SECONDS));
+        resume(task);
+        assertEquals(Outcome.UNREACHABLE, nextOutcome());
     }
 }
--- a/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
+++ b/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy.Outcome;
 
-/** A call whose time is up while the exchange that it shares is only partly in the socket. */
+/** Tests a call that times out while the request that it shares is only partly written to the socket. */
 class EndpointUnflushedCallTest {
     private static final long ENDPOINT = 1;
     private static final double SHORT_MS = 300;
     private static final double LONG_MS = 20_000;
     private static final int BODY_LENGTH = 30_000;
-    /** More exchanges than any socket's buffers hold. */
-    private static final int MOST_EXCHANGES = 2000;
+    /** More requests than the buffers of any socket hold. */
+    private static final int MAX_EXCHANGES = 2000;
 
     private record End(String id, Outcome outcome) {
     }
@@ -36,26 +36,27 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
-    /** Messages that were written whole; used on the loop. */
-    private int written;
-    /** Messages whose calls have begun, which are written in the same task; used on the loop. */
-    private int begun;
+    /** Number of messages that were written completely; used on the event loop. */
+    private int writtenMessages;
+    /** Number of calls that have begun, which are written in the same task; used on the event loop. */
+    private int begunCalls;
 
-    private final Endpoints.Callbacks told = new PermissiveEndpointCallbacks() {
+    private final Endpoints.Callbacks callbacks = new PermissiveEndpointCallbacks() {
         @Override
-        public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs, boolean open) {
+        public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
+                boolean exchangeOpen) {
             ends.add(new End(call.held.id, outcome));
         }
 
         @Override
         public boolean begins(Endpoints.Call call) {
-            begun++;
+            begunCalls++;
             return true;
         }
 
         @Override
         public void written(int messages) {
-            written += messages;
+            writtenMessages += messages;
         }
     };
 
@@ -65,45 +66,48 @@
     }
 
     /**
-     * The endpoint reads nothing, and answers each exchange that went into the socket whole; the first one that did
-     * not is left by one of its calls. The endpoint then reads on: what it gets whole may have run.
+     * The endpoint reads nothing, and answers each request that the socket accepted completely. In the first exchange
+     * whose request it did not accept, one of the calls times out. Then the endpoint reads on: if it receives that
+     * request completely, the call must have ended as one that may have run.
      */
     @Test
-    void aCallThatLeavesAnUnwrittenExchangeMayHaveRunOnceTheExchangeGoesOut() throws Exception {
-        Endpoints endpoints = new Endpoints(loop, 1000, 15_000, 1, 4, told);
+    void callTimedOutInUnwrittenExchangeMayHaveRunOnceItIsSent() throws Exception {
+        Endpoints endpoints = new Endpoints(loop, 1000, 15_000, 1, 4, callbacks);
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4096);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             InetSocketAddress address = (InetSocketAddress) server.getLocalSocketAddress();
             loop.submit(() -> endpoints.updateEndpoint(ENDPOINT, address, true, 0, 2)).sync();
-            int stuck = 0;
+            int number = 0;
             Socket socket = null;
-            while (startIsWrittenWhole(endpoints, stuck)) {
+            while (startIsWrittenCompletely(endpoints, number)) {
                 socket = socket == null ? server.accept() : socket;
-                answerAccepted(socket, stuck);
+                answerAccepted(socket, number);
                 assertEquals(Outcome.DELIVERED, ends.poll(30, TimeUnit.SECONDS).outcome());
                 assertEquals(Outcome.DELIVERED, ends.poll(30, TimeUnit.SECONDS).outcome());
-                stuck++;
-                assertTrue(stuck < MOST_EXCHANGES, "the socket takes everything");
+                number++;
+                assertTrue(number < MAX_EXCHANGES, "the socket accepts everything");
             }
             End first = ends.poll(30, TimeUnit.SECONDS);
-            assertEquals("a" + stuck, first.id());
-            boolean arrived = arrives(socket, "b" + stuck + " - ");
-            assertTrue(!arrived || first.outcome().mayHaveRun(), "it went out whole, and ended as " + first.outcome());
+            assertEquals("a" + number, first.id());
+            boolean arrived = arrives(socket, "b" + number + " - ");
+            assertTrue(!arrived || first.outcome().mayHaveRun(),
+                    "it was sent completely, and ended as " + first.outcome());
         }
     }
 
-    /** Starts an exchange with a short and a long call; whether the socket took it whole at once. */
-    private boolean startIsWrittenWhole(Endpoints endpoints, int number) throws Exception {
-        int before = loop.submit(() -> written).get();
+    /** Starts an exchange with a short and a long call; returns whether the socket accepted it completely at once. */
+    private boolean startIsWrittenCompletely(Endpoints endpoints, int number) throws Exception {
+        int before = loop.submit(() -> writtenMessages).get();
         loop.submit(() -> {
             endpoints.call(held("a" + number), 0, ENDPOINT, number == 0 ? LONG_MS : SHORT_MS);
             endpoints.call(held("b" + number), 0, ENDPOINT, LONG_MS);
             endpoints.flush();
         }).sync();
         int expected = 2 * (number + 1);
-        StubServer.await("both calls begin", () -> loop.submit(() -> begun).syncUninterruptibly().getNow() == expected);
-        return loop.submit(() -> written).get() > before;
+        StubServer.await("both calls begin",
+                () -> loop.submit(() -> begunCalls).syncUninterruptibly().getNow() == expected);
+        return loop.submit(() -> writtenMessages).get() > before;
     }
 
     private static AcceptedMessage held(String id) {
@@ -116,7 +120,7 @@
         StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
     }
 
-    /** Reads all that comes up to the last message with this line; false if the connection ends before. */
+    /** Reads up to the end of the message with this line, the last one; false if the connection ends before that. */
     private static boolean arrives(Socket socket, String line) throws Exception {
         StringBuilder tail = new StringBuilder();
         byte[] buffer = new byte[65_536];
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -363,7 +363,7 @@
         assertFalse(stub.requests.get(0).body().contains("id-1"));
     }
 
-    /** Withholds a message once its connection is up: mayStart is asked for each call before the connect and after it. */
+    /** Withholds a message once its connection is up: mayStart is asked before the connect and again after it. */
     private void withholdOnceConnected(String id, int calls) {
         AtomicInteger asked = new AtomicInteger();
         beforeStart = () -> {
--- a/src/test/java/starlingvalve/net/MessageEndTest.java
+++ b/src/test/java/starlingvalve/net/MessageEndTest.java
@@ -26,48 +26,50 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy.Outcome;
 
-/** An answer that tells the end of a message binds whatever else is known or under way: nothing goes out for it then. */
+/** Tests that an answer which ends a message counts whatever else happens: nothing is sent for the message after it. */
 class MessageEndTest {
     private static final long FIRST = 1;
     private static final long SECOND = 2;
     private static final double SHORT_MS = 200;
     private static final double LONG_MS = 20_000;
-    /** Two of them fill a call, and are more than small buffers of sockets hold. */
+    /** Two bodies of this size fit into one request, and are more than small socket buffers hold. */
     private static final int LARGE_BODY = 30_000;
 
-    /** What was told of a call. */
-    private sealed interface Told {
-        record Ended(String id, int attempt, Outcome outcome, boolean gone, boolean open) implements Told {
+    /** A callback that was received for a call. */
+    private sealed interface Callback {
+        record Ended(String id, int attempt, Outcome outcome, boolean messageEnded, boolean exchangeOpen)
+                implements Callback {
         }
 
-        record OverAfterEnd(String id, int attempt, boolean delivered) implements Told {
+        record EndedAfterCall(String id, int attempt, boolean delivered) implements Callback {
         }
 
-        record Closed(String id) implements Told {
+        record Closed(String id) implements Callback {
         }
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Callback> received = new LinkedBlockingQueue<>();
     private StubServer first;
     private StubServer second;
     private Endpoints endpoints;
 
-    private final Endpoints.Callbacks ends = new PermissiveEndpointCallbacks() {
+    private final Endpoints.Callbacks callbacks = new PermissiveEndpointCallbacks() {
         @Override
-        public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs, boolean open) {
-            told.add(new Told.Ended(call.held.id, call.attempt, outcome, gone, open));
+        public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
+                boolean exchangeOpen) {
+            received.add(new Callback.Ended(call.held.id, call.attempt, outcome, messageEnded, exchangeOpen));
         }
 
         @Override
         public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-            told.add(new Told.OverAfterEnd(call.held.id, call.attempt, delivered));
+            received.add(new Callback.EndedAfterCall(call.held.id, call.attempt, delivered));
         }
 
         @Override
         public void closed(Endpoints.Call call) {
-            told.add(new Told.Closed(call.held.id));
+            received.add(new Callback.Closed(call.held.id));
         }
     };
 
@@ -79,8 +81,8 @@
     }
 
     private void open(ChannelFactory<UnreadInputChannel> channels, InetSocketAddress firstAddress) {
-        endpoints = new Endpoints(loop, System::nanoTime, channels, 1000, 15_000, 1, 4, ends);
-        inLoop(() -> {
+        endpoints = new Endpoints(loop, System::nanoTime, channels, 1000, 15_000, 1, 4, callbacks);
+        runInLoop(() -> {
             endpoints.updateEndpoint(FIRST, firstAddress, true, 0, 3);
             endpoints.updateEndpoint(SECOND, second.address(), true, 0, 3);
             return null;
@@ -94,7 +96,7 @@
         second.close();
     }
 
-    private <T> T inLoop(Callable<T> task) {
+    private <T> T runInLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
@@ -106,8 +108,8 @@
         return endpoints.call(held, attempt, endpoint, timeoutMs);
     }
 
-    private Told next() throws InterruptedException {
-        return told.poll(30, TimeUnit.SECONDS);
+    private Callback next() throws InterruptedException {
+        return received.poll(30, TimeUnit.SECONDS);
     }
 
     private static String accepted(String... ids) {
@@ -118,9 +120,9 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Three messages in one call, of which the first is cancelled and the second times out before the answer. */
-    private void twoOfThreeLeave() throws Exception {
-        Endpoints.Call cancelled = inLoop(() -> {
+    /** Sends three messages in one request; the first is cancelled and the second times out before the answer. */
+    private void abandonTwoOfThree() throws Exception {
+        Endpoints.Call cancelled = runInLoop(() -> {
             Endpoints.Call call = call(held("cancelled", 5), 0, FIRST, LONG_MS);
             call(held("hasty", 5), 0, FIRST, SHORT_MS);
             call(held("waiting", 5), 0, FIRST, LONG_MS);
@@ -128,108 +130,109 @@
             return call;
         });
         StubServer.await("the call arrives", () -> first.requests.size() == 1);
-        inLoop(() -> {
+        runInLoop(() -> {
             endpoints.cancel(cancelled);
             return null;
         });
-        assertEquals(new Told.Ended("cancelled", 0, Outcome.CANCELLED, false, true), next());
-        assertEquals(new Told.Ended("hasty", 0, Outcome.TIMED_OUT, false, true), next());
+        assertEquals(new Callback.Ended("cancelled", 0, Outcome.CANCELLED, false, true), next());
+        assertEquals(new Callback.Ended("hasty", 0, Outcome.TIMED_OUT, false, true), next());
     }
 
     /**
-     * Replaces a test that had the one who waits end as maybe run, whatever the answer said: the protocol has a message
-     * delivered once the whole answer that accepts it is written.
+     * By the protocol a message is delivered once the whole answer that accepts it is written. An earlier version of
+     * this test expected that the waiting call counts as possibly run, whatever the answer said.
      */
     @Test
-    void aWholeAnswerCountsForAllOfItsCallAlsoForThoseThatHaveLeft() throws Exception {
-        twoOfThreeLeave();
-        assertTrue(told.isEmpty(), "their call is still out");
+    void completeAnswerCountsForAllMessagesIncludingAbandonedOnes() throws Exception {
+        abandonTwoOfThree();
+        assertTrue(received.isEmpty(), "their request is still in flight");
         first.answerAll(accepted("cancelled", "hasty", "waiting"));
-        assertEquals(List.of(new Told.OverAfterEnd("cancelled", 0, true), new Told.OverAfterEnd("hasty", 0, true),
-                new Told.Ended("waiting", 0, Outcome.DELIVERED, false, false), new Told.Closed("cancelled"),
-                new Told.Closed("hasty")), List.of(next(), next(), next(), next(), next()));
+        assertEquals(List.of(new Callback.EndedAfterCall("cancelled", 0, true),
+                new Callback.EndedAfterCall("hasty", 0, true),
+                new Callback.Ended("waiting", 0, Outcome.DELIVERED, false, false), new Callback.Closed("cancelled"),
+                new Callback.Closed("hasty")), List.of(next(), next(), next(), next(), next()));
     }
 
     @Test
     void eachWordOfTheAnswerCountsForItsOwnMessage() throws Exception {
-        twoOfThreeLeave();
+        abandonTwoOfThree();
         first.answerAll(answer("cancelled deferred\r\nhasty expired\r\nwaiting deferred\r\n"));
-        assertEquals(List.of(new Told.OverAfterEnd("hasty", 0, false),
-                new Told.Ended("waiting", 0, Outcome.FULL, false, false), new Told.Closed("cancelled"),
-                new Told.Closed("hasty")), List.of(next(), next(), next(), next()));
+        assertEquals(List.of(new Callback.EndedAfterCall("hasty", 0, false),
+                new Callback.Ended("waiting", 0, Outcome.FULL, false, false), new Callback.Closed("cancelled"),
+                new Callback.Closed("hasty")), List.of(next(), next(), next(), next()));
     }
 
     @Test
-    void anAnswerThatIsNotWholeEndsNothing() throws Exception {
-        twoOfThreeLeave();
+    void incompleteAnswerEndsNoMessage() throws Exception {
+        abandonTwoOfThree();
         String whole = accepted("cancelled", "hasty", "waiting");
         first.answerAll(whole.substring(0, whole.length() - 3));
         first.close();
-        assertEquals(List.of(new Told.Ended("waiting", 0, Outcome.BROKEN, false, false), new Told.Closed("cancelled"),
-                new Told.Closed("hasty")), List.of(next(), next(), next()));
+        assertEquals(List.of(new Callback.Ended("waiting", 0, Outcome.BROKEN, false, false),
+                new Callback.Closed("cancelled"), new Callback.Closed("hasty")), List.of(next(), next(), next()));
     }
 
-    /** The answer was read, but the module not told yet, when the connection for a copy came up. */
+    /** The answer was read, but the policy not notified yet, when the connection for a hedge came up. */
     @Test
-    void nothingGoesOutForAMessageWhoseEndHasBeenRead() throws Exception {
+    void nothingIsSentForMessageWhoseEndHasBeenRead() throws Exception {
         AcceptedMessage held = held("raced", 5);
-        inLoop(() -> {
+        runInLoop(() -> {
             call(held, 0, FIRST, LONG_MS);
             endpoints.flush();
             return null;
         });
         StubServer.await("the first attempt arrives", () -> first.requests.size() == 1);
-        inLoop(() -> {
-            // The loop reads nothing now: the answer lies in the socket before the second connection is asked for.
+        runInLoop(() -> {
+            // The loop reads nothing now: the answer is in the socket before the second connect starts.
             first.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             call(held, 1, SECOND, LONG_MS);
             endpoints.flush();
             return null;
         });
-        assertEquals(List.of(new Told.Ended("raced", 0, Outcome.DELIVERED, false, false),
-                new Told.Ended("raced", 1, Outcome.NOT_SENT, false, false)), List.of(next(), next()));
+        assertEquals(List.of(new Callback.Ended("raced", 0, Outcome.DELIVERED, false, false),
+                new Callback.Ended("raced", 1, Outcome.NOT_SENT, false, false)), List.of(next(), next()));
         assertEquals(0, second.requests.size());
     }
 
-    /** A socket that takes only part of a large call while its peer does not read. */
+    /** A socket that accepts only part of a large request while its peer does not read. */
     private static final class SmallBufferChannel extends UnreadInputChannel {
         SmallBufferChannel() {
             config().setSendBufferSize(4096);
         }
     }
 
-    /** The others of a call that is partly written took it along, and it arrived after its end. */
+    /** Guards against a cancelled message that arrives after its end because the rest of its request is written. */
     @Test
-    void theLastByteOfACallWithACancelledMessageIsNotWritten() throws Exception {
+    void lastByteOfRequestWithCancelledMessageIsNotWritten() throws Exception {
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4096);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             open(SmallBufferChannel::new, (InetSocketAddress) server.getLocalSocketAddress());
-            Endpoints.Call over = inLoop(() -> {
+            Endpoints.Call cancelled = runInLoop(() -> {
                 Endpoints.Call call = call(held("over", LARGE_BODY), 0, FIRST, LONG_MS);
                 call(held("other", LARGE_BODY), 0, FIRST, LONG_MS);
                 endpoints.flush();
                 return call;
             });
             try (Socket socket = server.accept()) {
-                // Its connection is up, and the call has begun.
-                int arrived = socket.getInputStream().read() < 0 ? 0 : 1;
-                inLoop(() -> {
-                    endpoints.cancel(over);
+                // The connection is up, and the request has begun.
+                int arrivedBytes = socket.getInputStream().read() < 0 ? 0 : 1;
+                runInLoop(() -> {
+                    endpoints.cancel(cancelled);
                     return null;
                 });
-                assertEquals(List.of(new Told.Ended("over", 0, Outcome.CANCELLED, false, false),
-                        new Told.Ended("other", 0, Outcome.UNREACHABLE, false, false)), List.of(next(), next()));
+                assertEquals(List.of(new Callback.Ended("over", 0, Outcome.CANCELLED, false, false),
+                        new Callback.Ended("other", 0, Outcome.UNREACHABLE, false, false)), List.of(next(), next()));
                 byte[] buffer = new byte[1 << 16];
                 for (int n = socket.getInputStream().read(buffer); n >= 0; n = socket.getInputStream().read(buffer)) {
-                    arrived += n;
+                    arrivedBytes += n;
                 }
-                assertTrue(arrived < 2 * LARGE_BODY, "it arrived whole");
+                assertTrue(arrivedBytes < 2 * LARGE_BODY, "the request arrived completely");
             }
         }
     }
 
-    /** A socket that gives one byte a read, as one may. */
+    /** A socket that returns one byte per read, as sockets may. */
     private static final class ByteByByteChannel extends UnreadInputChannel {
         @Override
         protected int doReadBytes(ByteBuf bytes) throws Exception {
@@ -237,28 +240,28 @@
         }
     }
 
-    /** The time-out came while the answer was read, a byte at a time, and its connection was closed. */
+    /** Guards against a time-out that closes the connection while the answer is read one byte at a time. */
     @Test
-    void anAnswerThatIsBeingReadWhenTheTimeIsUpIsReadOn() throws Exception {
+    void answerBeingReadAtTimeOutIsReadToItsEnd() throws Exception {
         open(ByteByByteChannel::new, first.address());
         CountDownLatch answered = new CountDownLatch(1);
         first.script((request, socket) -> {
             StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             answered.countDown();
         });
-        inLoop(() -> {
+        runInLoop(() -> {
             call(held("late", 5), 0, FIRST, SHORT_MS);
             endpoints.flush();
             return null;
         });
         StubServer.await("the call arrives", () -> first.requests.size() == 1);
-        inLoop(() -> {
-            // The loop reads nothing until the whole answer lies in the socket and the time is up.
+        runInLoop(() -> {
+            // The loop reads nothing until the whole answer is in the socket and the time-out has passed.
             SenderFixture.awaitLatch(answered);
             TimeUnit.MILLISECONDS.sleep((long) SHORT_MS);
             return null;
         });
-        assertEquals(new Told.Ended("late", 0, Outcome.DELIVERED, false, false), next());
+        assertEquals(new Callback.Ended("late", 0, Outcome.DELIVERED, false, false), next());
         assertFalse(first.requests.isEmpty());
     }
 }
--- a/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
+++ b/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
@@ -1,6 +1,6 @@
 package starlingvalve.net;
 
-/** Lets every call go out, and passes over what a test does not look at. */
+/** Allows every call, and ignores the callbacks that a test does not override. */
 abstract class PermissiveEndpointCallbacks implements Endpoints.Callbacks {
     @Override
     public boolean mayStart(Endpoints.Call call) {
@@ -13,22 +13,22 @@
     }
 
     @Override
-    public void waitTold(long endpoint, double waitMs) {
-        // Not looked at.
+    public void waitTold(long endpoint, double retryAfterMs) {
+        // Ignored.
     }
 
     @Override
     public void written(int messages) {
-        // Not looked at.
+        // Ignored.
     }
 
     @Override
     public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-        // Not looked at.
+        // Ignored.
     }
 
     @Override
     public void closed(Endpoints.Call call) {
-        // Not looked at.
+        // Ignored.
     }
 }
--- a/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
@@ -24,40 +24,40 @@
 import starlingvalve.DeliveryPolicy.Outcome;
 
 /**
- * An answer that tells a wait arrives while another call is about to go out. What has arrived before a call is
- * written has to be read before it, however long the event loop is held up in between.
+ * Tests that an answer with Retry-After holds back a call that is about to be sent. Input that arrives before a call is
+ * written must be read before that, however long the event loop is held up in between.
  */
 class RetryAfterOrderTest {
-    private static final long TELLS = 1;
-    private static final long OTHER = 2;
-    private static final double DIAL_MS = 15_000;
+    private static final long RETRY_AFTER_ENDPOINT = 1;
+    private static final long OTHER_ENDPOINT = 2;
+    private static final double DIAL_TIMEOUT_MS = 15_000;
     private static final double TIMEOUT_MS = 20_000;
-    private static final String TOLD_WAIT = "HTTP/1.1 429 x\r\nRetry-After: 5\r\nContent-Length: 0\r\n\r\n";
+    private static final String RETRY_AFTER_ANSWER = "HTTP/1.1 429 x\r\nRetry-After: 5\r\nContent-Length: 0\r\n\r\n";
 
     private record End(String id, Outcome outcome) {
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<End> ended = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-    private final CountDownLatch loopRunsOn = new CountDownLatch(1);
-    /** Used on the loop: what is done while the call with this id is recorded as begun. */
+    private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Socket> waitingSockets = new LinkedBlockingQueue<>();
+    private final CountDownLatch releaseLoop = new CountDownLatch(1);
+    /** Used on the event loop: runs while the call with the id "other" is recorded as begun. */
     private Runnable whileOtherBegins = () -> { };
-    private boolean waitIsTold;
-    /** Used on the loop: calls of which it was asked whether they may start, which is done with the answer at once. */
-    private int askedToStart;
-    private StubServer teller;
+    private boolean retryAfterReceived;
+    /** Used on the event loop: how often mayStart was asked; a call that is allowed then starts in the same task. */
+    private int startChecks;
+    private StubServer retryAfterServer;
     private Endpoints endpoints;
 
     @BeforeEach
     void open() throws Exception {
-        teller = new StubServer((request, socket) -> asked.add(socket));
-        endpoints = new Endpoints(loop, DIAL_MS, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
+        retryAfterServer = new StubServer((request, socket) -> waitingSockets.add(socket));
+        endpoints = new Endpoints(loop, DIAL_TIMEOUT_MS, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
             @Override
             public boolean mayStart(Endpoints.Call call) {
-                askedToStart++;
-                return !waitIsTold;
+                startChecks++;
+                return !retryAfterReceived;
             }
 
             @Override
@@ -69,23 +69,24 @@
             }
 
             @Override
-            public void waitTold(long endpoint, double waitMs) {
-                waitIsTold = true;
+            public void waitTold(long endpoint, double retryAfterMs) {
+                retryAfterReceived = true;
             }
 
             @Override
-            public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs, boolean open) {
-                ended.add(new End(call.held.id, outcome));
+            public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
+                    boolean exchangeOpen) {
+                ends.add(new End(call.held.id, outcome));
             }
         });
-        updateEndpoint(TELLS, teller.address());
+        updateEndpoint(RETRY_AFTER_ENDPOINT, retryAfterServer.address());
     }
 
     @AfterEach
     void close() throws Exception {
-        loopRunsOn.countDown();
+        releaseLoop.countDown();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
-        teller.close();
+        retryAfterServer.close();
     }
 
     private void updateEndpoint(long endpoint, InetSocketAddress address) {
@@ -99,17 +100,17 @@
         endpoints.flush();
     }
 
-    /** A call that its endpoint has read and not answered yet; its connection. */
-    private Socket callThatIsOut() throws InterruptedException {
-        loop.execute(() -> call("teller", TELLS));
-        return asked.poll(30, TimeUnit.SECONDS);
+    /** Sends a call that its endpoint reads and does not answer; returns the endpoint's socket. */
+    private Socket startUnansweredCall() throws InterruptedException {
+        loop.execute(() -> call("teller", RETRY_AFTER_ENDPOINT));
+        return waitingSockets.poll(30, TimeUnit.SECONDS);
     }
 
-    /** Holds the event loop up, from its next task on, until the test lets it run on. */
-    private void holdLoop() {
+    /** Blocks the event loop, from its next task on, until the test releases it. */
+    private void blockLoop() {
         loop.execute(() -> {
             try {
-                loopRunsOn.await();
+                releaseLoop.await();
             } catch (InterruptedException e) {
                 throw new AssertionError(e);
             }
@@ -117,54 +118,54 @@
     }
 
     private void assertEndsUnsent(String id) throws InterruptedException {
-        End end = ended.poll(30, TimeUnit.SECONDS);
+        End end = ends.poll(30, TimeUnit.SECONDS);
         while (!end.id().equals(id)) {
-            end = ended.poll(30, TimeUnit.SECONDS);
+            end = ends.poll(30, TimeUnit.SECONDS);
         }
         assertEquals(new End(id, Outcome.NOT_SENT), end);
     }
 
-    /** The connection is up first, the answer is written then, and the loop finds both at once. */
+    /** The connection comes up first, then the answer is written; the event loop finds both at once. */
     @Test
-    void aCallWhoseConnectionComesUpJustBeforeIsHeldBack() throws Exception {
-        Socket out = callThatIsOut();
+    void callWhoseConnectionComesUpJustBeforeIsHeldBack() throws Exception {
+        Socket unanswered = startUnansweredCall();
         try (FullListener listener = new FullListener()) {
-            updateEndpoint(OTHER, listener.address());
-            int askedBefore = loop.submit(() -> askedToStart).get();
-            loop.submit(() -> call("other", OTHER)).sync();
+            updateEndpoint(OTHER_ENDPOINT, listener.address());
+            int checksBefore = loop.submit(() -> startChecks).get();
+            loop.submit(() -> call("other", OTHER_ENDPOINT)).sync();
             StubServer.await("the connection is being made",
-                    () -> loop.submit(() -> askedToStart).syncUninterruptibly().getNow() > askedBefore);
-            holdLoop();
+                    () -> loop.submit(() -> startChecks).syncUninterruptibly().getNow() > checksBefore);
+            blockLoop();
             listener.acceptNext();
-            StubServer.write(out, TOLD_WAIT);
-            loopRunsOn.countDown();
+            StubServer.write(unanswered, RETRY_AFTER_ANSWER);
+            releaseLoop.countDown();
             assertEndsUnsent("other");
         }
     }
 
-    /** The loop is held up, as by a slow disk, between the decision for a call and its first byte. */
+    /** The event loop is held up, as by a slow disk, between the decision for a call and its first byte. */
     @Test
-    void aCallOnAKeptConnectionThatIsHeldUpBeforeItsFirstByteIsHeldBack() throws Exception {
+    void callOnIdleConnectionStalledBeforeFirstByteIsHeldBack() throws Exception {
         try (StubServer other = new StubServer(StubServer.status(200, ""))) {
-            updateEndpoint(OTHER, other.address());
-            loop.submit(() -> call("first", OTHER)).sync();
-            assertEquals(new End("first", Outcome.DELIVERED), ended.poll(30, TimeUnit.SECONDS));
-            Socket out = callThatIsOut();
+            updateEndpoint(OTHER_ENDPOINT, other.address());
+            loop.submit(() -> call("first", OTHER_ENDPOINT)).sync();
+            assertEquals(new End("first", Outcome.DELIVERED), ends.poll(30, TimeUnit.SECONDS));
+            Socket unanswered = startUnansweredCall();
             loop.submit(() -> whileOtherBegins = () -> {
                 whileOtherBegins = () -> { };
-                tellWaitAndStayHeldUp(out);
+                sendRetryAfterAndStall(unanswered);
             }).sync();
-            loop.submit(() -> call("other", OTHER)).sync();
+            loop.submit(() -> call("other", OTHER_ENDPOINT)).sync();
             assertEndsUnsent("other");
             assertEquals(1, other.requests.size());
         }
     }
 
-    private static void tellWaitAndStayHeldUp(Socket out) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(150);
+    private static void sendRetryAfterAndStall(Socket unanswered) {
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(150);
         try {
-            StubServer.write(out, TOLD_WAIT);
-            while (System.nanoTime() < until) {
+            StubServer.write(unanswered, RETRY_AFTER_ANSWER);
+            while (System.nanoTime() < endNanos) {
                 Thread.sleep(1);
             }
         } catch (IOException | InterruptedException e) {
@@ -172,19 +173,19 @@
         }
     }
 
-    /** Has no room for further connections until it accepts: the next one comes up some time later. */
+    /** A listener whose backlog is full until it accepts, so that the next connect stays pending for some time. */
     private static final class FullListener implements AutoCloseable {
         private static final int ACCEPT_TIMEOUT_MS = 30_000;
-        private static final int LEAST_BACKLOG = 1;
-        /** The system queues one connection more than the backlog. */
-        private static final int QUEUED = LEAST_BACKLOG + 1;
+        private static final int MIN_BACKLOG = 1;
+        /** Number of connections that the system queues: one more than the backlog. */
+        private static final int QUEUED_CONNECTIONS = MIN_BACKLOG + 1;
 
-        private final ServerSocket server = new ServerSocket(0, LEAST_BACKLOG, InetAddress.getLoopbackAddress());
+        private final ServerSocket server = new ServerSocket(0, MIN_BACKLOG, InetAddress.getLoopbackAddress());
         private final List<Socket> sockets = new ArrayList<>();
 
         FullListener() throws IOException {
             server.setSoTimeout(ACCEPT_TIMEOUT_MS);
-            for (int i = 0; i < QUEUED; i++) {
+            for (int i = 0; i < QUEUED_CONNECTIONS; i++) {
                 sockets.add(new Socket(address().getAddress(), address().getPort()));
             }
         }
@@ -193,9 +194,9 @@
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
-        /** Makes room; returns when the connection that waited for it is up. */
+        /** Accepts the queued connections and the pending one; returns when that one is up. */
         void acceptNext() throws IOException {
-            for (int i = 0; i <= QUEUED; i++) {
+            for (int i = 0; i <= QUEUED_CONNECTIONS; i++) {
                 sockets.add(server.accept());
             }
         }
