--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -49,7 +49,7 @@
  * at a time and is then reused, the most recently idle one first. A turn is a group of events that are handled together
  * before anything is sent; the calls of one turn to one endpoint share an exchange, up to the batch size of its kind.
  * Each call ends exactly once, and {@link Callbacks#ended} never runs during {@link #call}, {@link #flush} or
- * {@link #cancel}. All methods run on the event loop.
+ * {@link #cancel}. All methods are called on the event loop.
  */
 final class Endpoints {
     /** Idle connections are closed after this share of the time after which the endpoint closes them itself. */
@@ -81,7 +81,8 @@
          * Called once for each call, when it has ended.
          *
          * @param messageEnded whether the answer says that the message has ended, whatever else is known of it
-         * @param retryAfterMs the Retry-After of the answer in milliseconds; 0 if there is none
+         * @param retryAfterMs the Retry-After of the answer in milliseconds; 0 if there is none, or if the call delivered its
+         *     message
          * @param exchangeOpen whether the exchange of the call is still in flight for other calls
          */
         void ended(Call call, Outcome outcome, boolean messageEnded, double retryAfterMs, boolean exchangeOpen);
@@ -137,11 +138,11 @@
         NOT_KEPT,
         /** The endpoint announced the close in its answer. */
         NOT_KEPT_ALIVE,
-        /** Bytes or the end of the stream arrived before a request was sent. */
+        /** Bytes or the end of the stream arrived before a request was sent, or it turned out to be idle for too long. */
         UNUSABLE,
         /** Bytes arrived that belong to no answer. */
         STRAY_INPUT,
-        /** The answer can't be parsed, or its body is too long. */
+        /** The answer can't be parsed, is too long, or is no proof of an outcome. */
         UNREADABLE_ANSWER,
         /** No call waits for its answer any more. */
         NOT_AWAITED,
