--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -43,9 +43,9 @@
  */
 public final class Sender implements DeliveryPolicy.Actions {
     /** From SIGTERM: new connections come for so long at most. */
-    static final long TAKING_MS = 450;
+    static final long SHUTDOWN_ACCEPT_MS = 450;
     /** From SIGTERM: calls out may last till here; SIGKILL may come at 3.7 s. */
-    static final long CLOSING_MS = 3300;
+    static final long SHUTDOWN_LIMIT_MS = 3300;
     private static final long DRAIN_POLL_MS = 20;
     /** Longest warm-up. */
     private static final long WARM_MS = 2300;
@@ -164,8 +164,8 @@
                 Log.line("what started this has SIGHUP ignored: no new configuration will be heeded");
             }
             StartRetry startRetry = new StartRetry(StartRetry.PATIENCE_MS);
-            Sender sender = new Sender(Config.read(env, startRetry), TAKING_MS, CLOSING_MS, WARM_MS, startRetry,
-                    relay -> relay);
+            Sender sender = new Sender(Config.read(env, startRetry), SHUTDOWN_ACCEPT_MS, SHUTDOWN_LIMIT_MS,
+                    WARM_MS, startRetry, relay -> relay);
             made.complete(sender);
             // SIGTERM may come at any moment: once the journal is owned, calls and clients are owed their ends.
             Runtime.getRuntime().addShutdownHook(new Thread(sender::drain, "drain"));
--- a/src/test/java/starlingvalve/net/ChangedClassesUpgradeTest.java
+++ b/src/test/java/starlingvalve/net/ChangedClassesUpgradeTest.java
@@ -33,15 +33,15 @@
         List<Socket> late = new CopyOnWriteArrayList<>();
         script((request, socket) -> late.add(socket));
         start();
-        handIn("m", "once");
+        submit("m", "once");
         StubServer.await("the call", () -> late.size() == 1);
         Sender old = sender;
-        listen = "127.0.0.1:" + address.getPort();
+        listenAddress = "127.0.0.1:" + address.getPort();
         moreClasses = true;
         start();
         try {
             StubServer.write(late.get(0), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            awaitNothingHeld();
+            awaitEmptyJournal();
             assertEquals(List.of(), notices);
         } finally {
             old.kill();
--- a/src/test/java/starlingvalve/net/ClientConnectionTest.java
+++ b/src/test/java/starlingvalve/net/ClientConnectionTest.java
@@ -32,11 +32,11 @@
                 Map.entry(good.replace("X-Call-Class: order", "X-Call-Class: once"), "400"),
                 Map.entry(good.replace("Content-Length: 5", "Content-Length: five"), "400"));
         for (Map.Entry<String, String> e : answers.entrySet()) {
-            StubServer.Message answer = ask(client(), e.getKey());
+            StubServer.Message answer = exchange(client(), e.getKey());
             assertEquals(e.getValue(), answer.line().split(" ")[1], e.getKey());
         }
-        assertTrue(journalled().isEmpty());
-        handIn("good", "order");
+        assertTrue(journalledMessages().isEmpty());
+        submit("good", "order");
     }
 
     @Test
@@ -46,11 +46,11 @@
         for (int i = 0; i < 64 * 1024; i++) {
             any.append((char) (i % 256));
         }
-        assertEquals("202", ask(client(), message("big", "order", any.toString())).line().split(" ")[1]);
-        awaitNothingHeld();
+        assertEquals("202", exchange(client(), message("big", "order", any.toString())).line().split(" ")[1]);
+        awaitEmptyJournal();
         assertEquals(any.toString(), calls().get(0).body());
         String long413 = message("long", "order", any + "x");
-        assertEquals("413", ask(client(), long413).line().split(" ")[1]);
+        assertEquals("413", exchange(client(), long413).line().split(" ")[1]);
         assertEquals(1, calls().size());
     }
 
@@ -62,8 +62,8 @@
                 .toCharArray()) {
             StubServer.write(client, String.valueOf(c));
         }
-        assertEquals("202", ask(client, "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n").line().split(" ")[1]);
-        awaitNothingHeld();
+        assertEquals("202", exchange(client, "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n").line().split(" ")[1]);
+        awaitEmptyJournal();
         assertEquals("hello", calls().get(0).body());
     }
 
@@ -72,19 +72,19 @@
         script(StubServer.silent());
         start();
         for (int i = 0; i < MAX_OPEN; i++) {
-            handIn("m" + i, "order");
+            submit("m" + i, "order");
         }
-        assertEquals("503", ask(client(), message("more", "order", "hello")).line().split(" ")[1]);
-        assertEquals(MAX_OPEN, journalled().size());
+        assertEquals("503", exchange(client(), message("more", "order", "hello")).line().split(" ")[1]);
+        assertEquals(MAX_OPEN, journalledMessages().size());
     }
 
     @Test
     void theSameIdIsTakenOnce() throws Exception {
         script(StubServer.silent());
         start();
-        handIn("one", "order");
-        handIn("one", "order");
-        assertEquals(1, journalled().size());
+        submit("one", "order");
+        submit("one", "order");
+        assertEquals(1, journalledMessages().size());
     }
 
     @Test
@@ -94,8 +94,8 @@
         String whole = message("gone", "order", "hello");
         StubServer.write(gone, whole.substring(0, whole.length() - 2));
         gone.close();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitEmptyJournal();
         assertEquals(List.of("one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
     }
 
--- a/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
+++ b/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
@@ -223,8 +223,8 @@
             try (Socket client = connect()) {
                 StubServer.write(client, TestConfig.message("waiting", "safe", "hello"));
                 sender.signal("TERM");
-                client.setSoTimeout((int) Sender.CLOSING_MS);
-                TimeUnit.MILLISECONDS.sleep(Sender.TAKING_MS + 200);
+                client.setSoTimeout((int) Sender.SHUTDOWN_LIMIT_MS);
+                TimeUnit.MILLISECONDS.sleep(Sender.SHUTDOWN_ACCEPT_MS + 200);
                 faults.mendAll();
                 assertTrue(answer(client).startsWith("HTTP/1.1 "));
             }
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -37,7 +37,7 @@
 
     private void upgrade() throws Exception {
         olds.add(sender);
-        listen = "127.0.0.1:" + address.getPort();
+        listenAddress = "127.0.0.1:" + address.getPort();
         start();
     }
 
@@ -52,7 +52,7 @@
 
     private void handInBriefly(String id) throws Exception {
         String text = message(id, "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS);
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), text).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), text).line());
     }
 
     /** Since its handing-in: delivered, or ended by one notice, in the time of the rule. */
@@ -66,15 +66,15 @@
     }
 
     private boolean hasEnd(String id) {
-        return journalled().stream().noneMatch(held -> held.id.equals(id));
+        return journalledMessages().stream().noneMatch(held -> held.id.equals(id));
     }
 
     @Test
     void whatWaitsBehindAMessageWhoseCopyWasRefusedEndsInItsTimeAfterAnUpgrade() throws Exception {
-        copies = true;
+        hedging = true;
         scriptCalls(StubServer.silent(), StubServer.status(503, WAIT));
         start();
-        handIn("hedged", "plain");
+        submit("hedged", "plain");
         StubServer.await("the copy is refused", () -> calls().size() == 2 && attemptsEnded("hedged") == 1);
         long handedIn = System.nanoTime();
         handInBriefly("behind");
@@ -84,17 +84,17 @@
 
     /** Attempts of a message of which the journal tells that they never ran. */
     private long attemptsEnded(String id) {
-        return journalled().stream().filter(held -> held.id.equals(id))
+        return journalledMessages().stream().filter(held -> held.id.equals(id))
                 .mapToLong(held -> held.attempts.stream().filter(a -> a.neverRan).count()).sum();
     }
 
     @Test
     void whatIsRefusedAfterTheHandoverBehindAMessageWhoseCopyWasRefusedEndsInItsTime() throws Exception {
-        copies = true;
+        hedging = true;
         List<Socket> late = new ArrayList<>();
         scriptCalls(StubServer.silent(), StubServer.status(503, ""), (request, socket) -> late.add(socket));
         start();
-        handIn("hedged", "plain");
+        submit("hedged", "plain");
         StubServer.await("the copy is refused", () -> calls().size() == 2 && attemptsEnded("hedged") == 1);
         long handedIn = System.nanoTime();
         handInBriefly("behind");
@@ -132,7 +132,7 @@
     @Test
     void whatWaitsForAMissingDestinationEndsInItsTimeAfterAnUpgrade() throws Exception {
         start();
-        states = "DRAINING DRAINING";
+        endpointStates = "DRAINING DRAINING";
         StubServer.await("the list", () -> sender != null && drained());
         long handedIn = System.nanoTime();
         handInBriefly("waiting");
@@ -160,8 +160,8 @@
         reportStatus = 500;
         scriptCalls(StubServer.status(500, ""));
         start();
-        handIn("once", "once");
-        StubServer.await("its notice is owed", () -> journalled().stream().anyMatch(held -> held.owed.isPresent()));
+        submit("once", "once");
+        StubServer.await("its notice is owed", () -> journalledMessages().stream().anyMatch(held -> held.owed.isPresent()));
         upgrade();
         reportStatus = 204;
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
@@ -244,14 +244,14 @@
 
     @Test
     void whatIsOutBehindAMessageWhoseCopyIsCalledOffByTheHandoverEndsInItsTime() throws Exception {
-        copies = true;
+        hedging = true;
         List<Socket> late = new ArrayList<>();
         scriptCalls(StubServer.silent(), (request, socket) -> late.add(socket));
         try (FullListener second = new FullListener()) {
             full.put(1, second);
             CountDownLatch copy = dialled(1);
             start();
-            handIn("hedged", "plain");
+            submit("hedged", "plain");
             awaitLatch(copy);
             long handedIn = System.nanoTime();
             handInBriefly("behind");
@@ -279,7 +279,7 @@
         scriptCalls(StubServer.status(503, ""));
         try (FullListener first = new FullListener()) {
             full.put(0, first);
-            states = "SERVING DRAINING";
+            endpointStates = "SERVING DRAINING";
             CountDownLatch dial = dialled(0);
             start();
             long handedIn = System.nanoTime();
@@ -287,7 +287,7 @@
             awaitLatch(dial);
             putUnder(sender, disk);
             upgrade();
-            states = "DRAINING SERVING";
+            endpointStates = "DRAINING SERVING";
             awaitEnd("called-off", handedIn);
         }
     }
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -40,7 +40,7 @@
         endpoints.forEach(endpoint -> endpoint.script(StubServer.silent()));
         start();
         long sentNanos = System.nanoTime();
-        ask(client(), message("due", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS));
+        exchange(client(), message("due", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS));
         StubServer.await("it is called for",
                 () -> endpoints.stream().anyMatch(endpoint -> !endpoint.requests.isEmpty()));
         try (SocketChannel link = takenOver()) {
@@ -74,7 +74,7 @@
         link.close();
         StubServer.await("it has the lock again", () -> isOwned(state));
         // One exchange with its event loop: the try that took the lock has failed by now.
-        health();
+        healthStatus();
         Files.delete(state.resolve("journal"));
         Files.move(folder.resolve("away"), state.resolve("journal"));
         StubServer.await("it takes messages again", this::takesMessages);
@@ -90,7 +90,7 @@
 
     private boolean takesMessages() {
         try {
-            return ask(client(), message("m" + clients.size(), "plain", "hello")).line().contains("202");
+            return exchange(client(), message("m" + clients.size(), "plain", "hello")).line().contains("202");
         } catch (Exception e) {
             throw new AssertionError(e);
         }
@@ -136,18 +136,18 @@
                 throw new IllegalStateException("a fault of the test's");
             }
         };
-        assertNotNull(ask(client(), message("m", "plain", "hello")), "read, and closed with no answer");
+        assertNotNull(exchange(client(), message("m", "plain", "hello")), "read, and closed with no answer");
     }
 
     /** The new process has its state and is slow to own: nobody decides anything. */
     @Test
     void aMessageWhoseTimeRunsOutInAHandoverIsEndedInTime() throws Exception {
         long budgetMs = 1300;
-        states = "DRAINING DRAINING";
+        endpointStates = "DRAINING DRAINING";
         start();
         long handedInAt = System.nanoTime();
         String request = message("late", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), request).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
         try (SocketChannel link = takenOver()) {
             StubServer.await("the notice", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedInAt);
@@ -177,7 +177,7 @@
         start();
         long handedInAt = System.nanoTime();
         String request = message("late", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), request).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
         takenOverWithNoRoomForACopy().close();
         StubServer.await("the notice", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedInAt);
--- a/src/test/java/starlingvalve/net/ListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/ListenFaultTest.java
@@ -40,7 +40,7 @@
 
     @Test
     void aProcessThatCanNotListenEnds() throws Exception {
-        sender = new Sender(config(), 100, 500, 0, new StartRetry(START_PATIENCE_MS), this::watched);
+        sender = new Sender(config(), 100, 500, 0, new StartRetry(START_PATIENCE_MS), this::interceptEvents);
         makeNoSocket();
         assertThrows(IOException.class, sender::start);
         // As the shutdown hook does.
--- a/src/test/java/starlingvalve/net/LongBudgetTest.java
+++ b/src/test/java/starlingvalve/net/LongBudgetTest.java
@@ -10,14 +10,14 @@
 
     private void handIn(String id, long budgetMs) throws Exception {
         String request = message(id, "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), request).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
     }
 
     @Test
     void aMessageThatTheModuleWasNotToldOfIsEndedThoughAnotherHasTheLongestTime() throws Exception {
         start();
         handIn("long", Long.MAX_VALUE);
-        awaitNothingHeld();
+        awaitEmptyJournal();
         beforeEvent = (event, arguments) -> {
             if (event.equals("message")) {
                 throw new IllegalStateException("a fault of the test's");
--- a/src/test/java/starlingvalve/net/ModuleFaultTest.java
+++ b/src/test/java/starlingvalve/net/ModuleFaultTest.java
@@ -30,7 +30,7 @@
     private long handInBrief(String id) throws Exception {
         long at = System.nanoTime();
         String request = message(id, "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS);
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), request).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
         return at;
     }
 
@@ -68,23 +68,23 @@
         long at = handInBrief("held-up");
         StubServer.await("the call", () -> calls().size() == 1);
         assertInTime(at);
-        awaitNothingHeld();
+        awaitEmptyJournal();
     }
 
     @Test
     void whatTheModuleOfTheNextProcessDoesNotRestoreGoesOnFromTheJournal() throws Exception {
-        states = "DRAINING DRAINING";
+        endpointStates = "DRAINING DRAINING";
         start();
-        handIn("waiting", "plain");
-        handIn("behind", "plain");
+        submit("waiting", "plain");
+        submit("behind", "plain");
         failNext("remember", 1);
         Sender old = sender;
-        listen = "127.0.0.1:" + address.getPort();
+        listenAddress = "127.0.0.1:" + address.getPort();
         start();
         try {
-            states = "SERVING SERVING";
+            endpointStates = "SERVING SERVING";
             StubServer.await("both are called for", () -> calls().size() == 2);
-            awaitNothingHeld();
+            awaitEmptyJournal();
             assertEquals(0, notices.size());
         } finally {
             old.kill();
@@ -97,12 +97,12 @@
         Socket kept = client();
         failNext("memory", 2);
         Sender old = sender;
-        listen = "127.0.0.1:" + address.getPort();
+        listenAddress = "127.0.0.1:" + address.getPort();
         start();
         try {
-            assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("kept", "plain", "hello")).line());
-            handIn("new", "plain");
-            awaitNothingHeld();
+            assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("kept", "plain", "hello")).line());
+            submit("new", "plain");
+            awaitEmptyJournal();
             assertEquals(2, calls().size());
         } finally {
             old.kill();
--- a/src/test/java/starlingvalve/net/ReadinessTest.java
+++ b/src/test/java/starlingvalve/net/ReadinessTest.java
@@ -62,7 +62,7 @@
     }
 
     private void start(TestConfig config) throws Exception {
-        sender = new Sender(read(config), Sender.TAKING_MS, Sender.CLOSING_MS);
+        sender = new Sender(read(config), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
         address = sender.start();
     }
 
@@ -143,7 +143,7 @@
         discovery.listIsEmpty = true;
         CompletableFuture<Void> started;
         try (StateLock other = StateLock.take(folder.resolve("state")).orElseThrow()) {
-            sender = new Sender(read(settings()), Sender.TAKING_MS, Sender.CLOSING_MS);
+            sender = new Sender(read(settings()), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
             started = CompletableFuture.runAsync(() -> {
                 try {
                     address = sender.start();
@@ -162,6 +162,6 @@
     void anEmptyFolderDelaysItByTheWarmUpsTimeAtMost() throws Exception {
         Config config = read(knowing());
         assertEquals(0, Warmup.run(config, new DefaultEventLoop(), 0), "no step is begun without time for it");
-        assertTrue(Warmup.run(config, new DefaultEventLoop(), Sender.CLOSING_MS) > 0);
+        assertTrue(Warmup.run(config, new DefaultEventLoop(), Sender.SHUTDOWN_LIMIT_MS) > 0);
     }
 }
--- a/src/test/java/starlingvalve/net/RepeatedIdTest.java
+++ b/src/test/java/starlingvalve/net/RepeatedIdTest.java
@@ -12,14 +12,14 @@
 /** A client that lost the answer hands its message in once more, with the id that it had: what is owed then. */
 class RepeatedIdTest extends SenderFixture {
     private StubServer.Message handInAgain(String id, String type) throws IOException {
-        return ask(client(), message(id, type, "hello"));
+        return exchange(client(), message(id, type, "hello"));
     }
 
     private void assertDeliveredOnce(String id, String type) throws Exception {
         assertEquals("HTTP/1.1 202 Accepted", handInAgain(id, type).line());
         // Its own delivery comes after anything that the repeat could have led to.
-        handIn("after-" + id, type);
-        awaitNothingHeld();
+        submit("after-" + id, type);
+        awaitEmptyJournal();
         assertEquals(1, callsWith(id));
         assertEquals(List.of(), notices);
     }
@@ -32,8 +32,8 @@
     void aDeliveredMessageIsAcceptedAgainAndNotSent() throws Exception {
         start();
         for (String type : List.of("once", "order", "plain")) {
-            handIn("id-" + type, type);
-            awaitNothingHeld();
+            submit("id-" + type, type);
+            awaitEmptyJournal();
             assertDeliveredOnce("id-" + type, type);
         }
     }
@@ -41,11 +41,11 @@
     @Test
     void aMessageThatWasDeliveredBeforeAKillIsNotSentAgain() throws Exception {
         start();
-        handIn("id", "once");
-        awaitNothingHeld();
-        killAndStart();
+        submit("id", "once");
+        awaitEmptyJournal();
+        killAndRestart();
         assertDeliveredOnce("id", "once");
-        killAndStart();
+        killAndRestart();
         assertDeliveredOnce("id", "once");
     }
 
@@ -53,10 +53,10 @@
     void aMessageThatWasGivenUpStaysSo() throws Exception {
         script(StubServer.status(500, ""));
         start();
-        handIn("id", "once");
+        submit("id", "once");
         awaitNotice("dead");
         assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
-        killAndStart();
+        killAndRestart();
         assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
         assertEquals(1, callsWith("id"));
         assertEquals(1, notices.size(), "its end is told once");
@@ -68,10 +68,10 @@
         reportStatus = 500;
         script(StubServer.status(500, ""));
         start();
-        handIn("id", "once");
-        StubServer.await("the notice is owed", () -> journalled().stream().anyMatch(held -> held.owed.isPresent()));
+        submit("id", "once");
+        StubServer.await("the notice is owed", () -> journalledMessages().stream().anyMatch(held -> held.owed.isPresent()));
         assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
-        killAndStart();
+        killAndRestart();
         assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
         reportStatus = 204;
         awaitNotice("dead");
@@ -80,7 +80,7 @@
 
     @Test
     void aMessageThatWasHandedBackIsRefusedAgain() throws Exception {
-        earlierLife("order", 0, 24_000, true);
+        leaveEarlierRun("order", 0, 24_000, true);
         start();
         awaitNotice("bounced");
         StubServer.Message answer = handInAgain("old", "order");
@@ -100,10 +100,10 @@
             }
         };
         StubServer.write(lost, message("id", "once", "hello"));
-        StubServer.await("it is let go", () -> journalled().isEmpty() && lost.isClosed());
+        StubServer.await("it is let go", () -> journalledMessages().isEmpty() && lost.isClosed());
         beforeEvent = (event, arguments) -> { };
-        handIn("id", "once");
-        awaitNothingHeld();
+        submit("id", "once");
+        awaitEmptyJournal();
         assertEquals(1, callsWith("id"));
     }
 
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -25,20 +25,20 @@
     void aKeyedAttemptThatWasOutIsRepeatedWithinItsWindow() throws Exception {
         script(StubServer.silent());
         start();
-        handIn("one", "order");
+        submit("one", "order");
         StubServer.await("the call", () -> calls().size() == 1);
         script(StubServer.status(200, ""));
-        killAndStart();
+        killAndRestart();
         StubServer.await("the repeat", () -> calls().size() == 2);
         assertEquals(List.of("one", "one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
                 calls().stream().map(c -> c.header("Idempotency-Key")).toList());
-        awaitNothingHeld();
+        awaitEmptyJournal();
     }
 
     @Test
     void aKeyedAttemptThatWasOutIsNotRepeatedPastItsWindow() throws Exception {
-        earlierLife("order", 21_000, 10_000, false);
+        leaveEarlierRun("order", 21_000, 10_000, false);
         start();
         awaitNotice("bounced");
         assertTrue(calls().isEmpty());
@@ -48,9 +48,9 @@
     void anUnsafeAttemptThatWasOutIsGivenUp() throws Exception {
         script(StubServer.silent());
         start();
-        handIn("one", "once");
+        submit("one", "once");
         StubServer.await("the call", () -> calls().size() == 1);
-        killAndStart();
+        killAndRestart();
         awaitNotice("dead");
         assertEquals(1, calls().size());
     }
@@ -68,7 +68,7 @@
             }
         };
         start();
-        handIn("one", "once");
+        submit("one", "once");
         awaitLatch(asked);
         Path state = folder.resolve("state");
         Files.copy(state.resolve("journal"), folder.resolve("journal"));
@@ -80,7 +80,7 @@
         script(StubServer.status(200, ""));
         beforeEvent = (event, arguments) -> { };
         start();
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(List.of(), notices);
         assertEquals(2, calls().size());
     }
@@ -89,20 +89,20 @@
     void anUnsafeMessageWhoseAttemptNeverRanIsSentAgain() throws Exception {
         script(StubServer.status(503, ""));
         start();
-        handIn("one", "once");
-        StubServer.await("the refusal is known", () -> journalled().get(0).attempts.stream()
+        submit("one", "once");
+        StubServer.await("the refusal is known", () -> journalledMessages().get(0).attempts.stream()
                 .anyMatch(a -> a.neverRan));
         script(StubServer.status(200, ""));
-        killAndStart();
-        awaitNothingHeld();
+        killAndRestart();
+        awaitEmptyJournal();
         assertTrue(notices.isEmpty());
     }
 
     @Test
     void anUnsentMessageGoesOutInTheNextLife() throws Exception {
-        earlierLife("once", 0, 10_000, false);
+        leaveEarlierRun("once", 0, 10_000, false);
         start();
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(1, calls().size());
     }
 
@@ -111,7 +111,7 @@
     void aFaultInOneMessageOfTheJournalCostsNoOther() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (String id : List.of("first", "faulty", "tried", "last")) {
-                untried(journal, id, "plain", 7, Optional.empty());
+                unattempted(journal, id, "plain", 7, Optional.empty());
             }
             List<AcceptedMessage> held = List.copyOf(journal.held());
             JournalTest.attempt(journal, held.get(2), new AcceptedMessage.Attempt("s-0", System.currentTimeMillis()));
@@ -132,30 +132,30 @@
      * one had trouble and is back, and one has a limit; and with keys in order.
      */
     private List<String> leaveUntried() throws Exception {
-        List<String> untried = new ArrayList<>();
+        List<String> unattempted = new ArrayList<>();
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (int i = 0; i < 5; i++) {
-                AcceptedMessage refused = untried(journal, "refused-" + i, "plain", 2, Optional.empty());
+                AcceptedMessage refused = unattempted(journal, "refused-" + i, "plain", 2, Optional.empty());
                 for (int attempt = 0; attempt < 2; attempt++) {
                     JournalTest.attempt(journal, refused,
                             new AcceptedMessage.Attempt("s-2", System.currentTimeMillis() - 3000));
                     journal.neverRan(refused, attempt);
                 }
             }
-            AcceptedMessage waits = untried(journal, "refused-later", "once", 4, Optional.of("alone"));
+            AcceptedMessage waits = unattempted(journal, "refused-later", "once", 4, Optional.of("alone"));
             JournalTest.attempt(journal, waits, new AcceptedMessage.Attempt("s-4", System.currentTimeMillis() - 3000));
             journal.neverRan(waits, 0);
             for (int i = 0; i < 3; i++) {
                 for (int destination : List.of(7, 2, 3, 4)) {
                     for (String type : List.of("order", "once", "plain")) {
                         String id = type + "-" + destination + "-" + i;
-                        untried(journal, id, type, destination, Optional.of("thread-" + type + destination));
-                        untried.add(id);
+                        unattempted(journal, id, type, destination, Optional.of("thread-" + type + destination));
+                        unattempted.add(id);
                     }
                 }
             }
         }
-        return untried;
+        return unattempted;
     }
 
     /** Destination 3 takes a call each 100 ms, and tells the others to wait; all else is delivered. */
@@ -174,14 +174,14 @@
         });
     }
 
-    private void allUntriedAreCalled(List<String> untried) throws Exception {
-        StubServer.await("the destination that is not listed yet is all that waits", () -> journalled().stream()
+    private void allUntriedAreCalled(List<String> unattempted) throws Exception {
+        StubServer.await("the destination that is not listed yet is all that waits", () -> journalledMessages().stream()
                 .allMatch(h -> h.destination == 4));
-        others = 3;
-        awaitNothingHeld();
+        otherDestinations = 3;
+        awaitEmptyJournal();
         List<String> called = calls().stream().sorted(Comparator.comparingLong(StubServer.Message::atNanos))
                 .map(c -> c.header("X-Call-Id")).distinct().toList();
-        assertEquals(List.of(), untried.stream().filter(id -> !called.contains(id)).toList(), "given up untried");
+        assertEquals(List.of(), unattempted.stream().filter(id -> !called.contains(id)).toList(), "given up untried");
         assertTrue(called.contains("refused-later"), "what never ran is tried as well");
         assertEquals(List.of(), notices);
         for (int destination : List.of(7, 2, 3, 4)) {
@@ -192,47 +192,47 @@
 
     @Test
     void whatARestartAfterAKillFindsUntriedIsStillTried() throws Exception {
-        List<String> untried = leaveUntried();
+        List<String> unattempted = leaveUntried();
         takeWithALimit();
-        others = 2;
-        fleet = 100;
+        otherDestinations = 2;
+        fleetSize = 100;
         start();
-        allUntriedAreCalled(untried);
+        allUntriedAreCalled(unattempted);
     }
 
     @Test
     void whatARestartAfterAnOrderlyEndFindsUntriedIsStillTried() throws Exception {
-        List<String> untried = leaveUntried();
+        List<String> unattempted = leaveUntried();
         takeWithALimit();
-        others = 2;
-        fleet = 100;
-        known = false;
+        otherDestinations = 2;
+        fleetSize = 100;
+        listInConfig = false;
         agentUp = false;
         start();
         sender.drain();
         sender.kill();
         assertEquals(List.of(), calls(), "no list was known");
-        known = true;
+        listInConfig = true;
         agentUp = true;
         start();
-        allUntriedAreCalled(untried);
+        allUntriedAreCalled(unattempted);
     }
 
     /** A class that is gone, another effect, a destination that nobody lists, a torn tail: none costs another. */
     @Test
     void aFolderOfOtherSettingsCostsNoOtherMessage() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            untried(journal, "gone", "a class of another customer", 7, Optional.empty());
+            unattempted(journal, "gone", "a class of another customer", 7, Optional.empty());
             journal.taken(new AcceptedMessage(journal.nextNumber(), "keyless", "order", "nobody", Optional.empty(),
                     Optional.empty(), 7, System.currentTimeMillis() + 15_000, new byte[1]));
             journal.taken(new AcceptedMessage(journal.nextNumber(), "nowhere", "plain", "acme", Optional.empty(),
                     Optional.empty(), 99, System.currentTimeMillis() + 3000, new byte[1]));
-            untried(journal, "good", "once", 7, Optional.empty());
+            unattempted(journal, "good", "once", 7, Optional.empty());
         }
         Files.write(folder.resolve("state/journal"), new byte[] {0, 0, 0, 50, 1, 2, 3}, StandardOpenOption.APPEND);
         start();
         StubServer.await("both notices", () -> notices.size() == 2);
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(Set.of("keyless", "good"), calls().stream().map(c -> c.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
         assertTrue(notices.get(0).startsWith("{\"ref\":\"gone\",\"result\":\"bounced\""), notices.get(0));
@@ -241,7 +241,7 @@
 
     @Test
     void anOverdueMessageGetsItsNoticeAtOnce() throws Exception {
-        earlierLife("order", 0, -5000, false);
+        leaveEarlierRun("order", 0, -5000, false);
         start();
         awaitNotice("bounced");
         assertTrue(calls().isEmpty());
@@ -249,7 +249,7 @@
 
     @Test
     void anOwedNoticeGoesOutInTheNextLife() throws Exception {
-        earlierLife("order", 0, 10_000, true);
+        leaveEarlierRun("order", 0, 10_000, true);
         start();
         awaitNotice("{\"ref\":\"old\",\"result\":\"bounced\",\"wait_ms\":700}");
         assertTrue(calls().isEmpty());
--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -41,18 +41,18 @@
     final List<String> notices = new CopyOnWriteArrayList<>();
     final List<Socket> clients = new ArrayList<>();
     StubServer agent;
-    volatile String states = "SERVING SERVING";
+    volatile String endpointStates = "SERVING SERVING";
     volatile boolean agentUp = true;
     volatile int reportStatus = 204;
-    boolean known = true;
+    boolean listInConfig = true;
     volatile BiConsumer<String, Object[]> beforeEvent = (event, arguments) -> { };
-    int fleet = 1;
+    int fleetSize = 1;
     /** Whether a second copy of a message may be out. */
-    boolean copies;
+    boolean hedging;
     final CountDownLatch killed = new CountDownLatch(1);
     /** Endpoints of other destinations, numbered on from the two. */
-    volatile int others;
-    String listen = "127.0.0.1:0";
+    volatile int otherDestinations;
+    String listenAddress = "127.0.0.1:0";
     Sender sender;
     Path processLog;
     InetSocketAddress address;
@@ -94,21 +94,21 @@
                     + (status == 204 ? "\r\n" : "Content-Length: 0\r\n\r\n"));
             return;
         }
-        String known = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
+        String knownGeneration = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
-        StubServer.await("something new on the list", () -> !known.equals(generation()));
+        StubServer.await("something new on the list", () -> !knownGeneration.equals(generation()));
         String list = list();
         StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
 
     String generation() {
-        return Integer.toString(1000 + (states + others).hashCode() % 1000);
+        return Integer.toString(1000 + (endpointStates + otherDestinations).hashCode() % 1000);
     }
 
     String list() {
-        String[] state = states.split(" ");
+        String[] state = endpointStates.split(" ");
         return "{\"generation\":" + generation() + ",\"reset\":true,\"instances\":[" + entry(0, state[0]) + ","
-                + entry(1, state[1]) + IntStream.range(2, 2 + others)
+                + entry(1, state[1]) + IntStream.range(2, 2 + otherDestinations)
                 .mapToObj(i -> "," + entry(i, "SERVING")).collect(Collectors.joining()) + "]}";
     }
 
@@ -133,23 +133,23 @@
                   "fleet_size":%d,"limits":{"most_tries":12,"second_copies":%s,"cancel":true,"max_open":%d,
                    "dial_timeout_ms":1000,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(listen, agent.hostPort(), known ? list() : "null", classes, fleet,
-                        copies, MAX_OPEN));
+                """.formatted(listenAddress, agent.hostPort(), listInConfig ? list() : "null", classes, fleetSize,
+                        hedging, MAX_OPEN));
         return Config.read(Map.of("GW_CONFIG", file.toString(), "GW_STATE", folder.resolve("state").toString(),
                 "TMPDIR", folder.toString()));
     }
 
     void start() throws Exception {
-        start(Sender.CLOSING_MS);
+        start(Sender.SHUTDOWN_LIMIT_MS);
     }
 
     void start(long closingMs) throws Exception {
-        sender = new Sender(config(), Sender.TAKING_MS, closingMs, 0, this::watched);
+        sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, closingMs, 0, this::interceptEvents);
         address = sender.start();
     }
 
     /** The module, with what a test does before it is told of an event. */
-    DeliveryPolicy watched(DeliveryPolicy relay) {
+    DeliveryPolicy interceptEvents(DeliveryPolicy relay) {
         return (DeliveryPolicy) Proxy.newProxyInstance(DeliveryPolicy.class.getClassLoader(),
                 new Class<?>[] {DeliveryPolicy.class}, (proxy, method, arguments) -> {
                     beforeEvent.accept(method.getName(), arguments);
@@ -161,7 +161,7 @@
                 });
     }
 
-    void killAndStart() throws Exception {
+    void killAndRestart() throws Exception {
         sender.kill();
         start();
     }
@@ -172,7 +172,7 @@
         return socket;
     }
 
-    static StubServer.Message ask(Socket socket, String text) throws IOException {
+    static StubServer.Message exchange(Socket socket, String text) throws IOException {
         StubServer.write(socket, text);
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
@@ -187,8 +187,8 @@
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    void handIn(String id, String type) throws Exception {
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, type, "hello")).line());
+    void submit(String id, String type) throws Exception {
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, type, "hello")).line());
     }
 
     List<StubServer.Message> calls() {
@@ -200,7 +200,7 @@
     }
 
     /** What the journal holds, read from a copy. */
-    List<AcceptedMessage> journalled() {
+    List<AcceptedMessage> journalledMessages() {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
             Files.copy(folder.resolve("state/journal"), copy.resolve("journal"),
@@ -214,7 +214,7 @@
     }
 
     /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
-    AcceptedMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    AcceptedMessage leaveEarlierRun(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long wall = System.currentTimeMillis();
             AcceptedMessage held =
@@ -232,7 +232,7 @@
     }
 
     /** Leaves in a journal what an earlier life took on and never called for. */
-    static AcceptedMessage untried(Journal journal, String id, String type, long destination,
+    static AcceptedMessage unattempted(Journal journal, String id, String type, long destination,
             Optional<String> thread) throws IOException {
         AcceptedMessage held = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
                 thread, destination, System.currentTimeMillis() + 15_000,
@@ -250,33 +250,33 @@
         }
     }
 
-    void awaitNothingHeld() throws InterruptedException {
-        StubServer.await("the journal holds nothing", () -> journalled().isEmpty());
+    void awaitEmptyJournal() throws InterruptedException {
+        StubServer.await("the journal holds nothing", () -> journalledMessages().isEmpty());
     }
 
     void awaitNotice(String result) throws Exception {
         StubServer.await("the notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(1, notices.size());
     }
 
     // ---- operators ----
 
-    String operator(String method, String path) throws Exception {
+    String operatorRequest(String method, String path) throws Exception {
         try (Socket socket = new Socket(sender.opsAddress().getAddress(), sender.opsAddress().getPort())) {
-            StubServer.Message answer = ask(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            StubServer.Message answer = exchange(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
             return answer.line().split(" ")[1] + " " + answer.body();
         }
     }
 
-    int figure(String name) throws Exception {
-        return operator("GET", "/stats").lines().map(l -> l.replace("200 ", ""))
+    int metric(String name) throws Exception {
+        return operatorRequest("GET", "/stats").lines().map(l -> l.replace("200 ", ""))
                 .filter(l -> l.startsWith("svc." + name + ":"))
                 .mapToInt(l -> Integer.parseInt(l.replaceAll(".*:(\\d+)\\|[cg]", "$1"))).findFirst().orElseThrow();
     }
 
-    String health() throws Exception {
-        return ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1];
+    String healthStatus() throws Exception {
+        return exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1];
     }
 }
--- a/src/test/java/starlingvalve/net/SenderTest.java
+++ b/src/test/java/starlingvalve/net/SenderTest.java
@@ -14,95 +14,95 @@
     @Test
     void anEndpointThatIsLeftOutGetsNothingUntilItIsPutBackWhateverTheListSays() throws Exception {
         start();
-        assertEquals("404", operator("POST", "/endpoints/s-9/maint").split(" ")[0]);
+        assertEquals("404", operatorRequest("POST", "/endpoints/s-9/maint").split(" ")[0]);
         for (int call = 0; call < 2; call++) {
-            assertEquals("200 ok\n", operator("POST", "/endpoints/s-0/maint"));
+            assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-0/maint"));
         }
         for (String list : List.of("SERVING DRAINING", "SERVING SERVING", "DELETED SERVING", "SERVING SERVING")) {
-            states = list;
+            endpointStates = list;
             String generation = generation();
             StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
-            handIn("m" + list.hashCode() + calls().size(), "order");
+            submit("m" + list.hashCode() + calls().size(), "order");
             if (list.endsWith("SERVING")) {
-                awaitNothingHeld();
+                awaitEmptyJournal();
             }
         }
         assertEquals(List.of(), endpoints.get(0).requests);
-        assertEquals(1, figure("endpoints_excluded"));
-        assertEquals(2, figure("endpoints_known"));
-        states = "SERVING DRAINING";
-        killAndStart();
+        assertEquals(1, metric("endpoints_excluded"));
+        assertEquals(2, metric("endpoints_known"));
+        endpointStates = "SERVING DRAINING";
+        killAndRestart();
         String generation = generation();
         long before = agent.requests.size();
         StubServer.await("the list is read", () -> agent.requests.stream().skip(before)
                 .anyMatch(r -> r.line().contains("after=" + generation)));
-        handIn("after", "order");
+        submit("after", "order");
         assertEquals(List.of(), endpoints.get(0).requests, "a later life keeps it out");
-        assertEquals("200 ok\n", operator("POST", "/endpoints/s-0/ready"));
-        awaitNothingHeld();
+        assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-0/ready"));
+        awaitEmptyJournal();
         assertEquals(1, endpoints.get(0).requests.size());
-        assertEquals(0, figure("endpoints_excluded"));
+        assertEquals(0, metric("endpoints_excluded"));
     }
 
     @Test
     void aThousandEndpointsAndSendersAreReadStoredAndServedAfterAKill() throws Exception {
-        others = 1022;
-        fleet = 1024;
+        otherDestinations = 1022;
+        fleetSize = 1024;
         script(StubServer.silent());
         start();
         String last = message("last", "order", "hello").replace("dest=7", "dest=1023");
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), last).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), last).line());
         StubServer.await("it is out", () -> calls().size() == 1);
-        assertEquals("200 ok\n", operator("POST", "/endpoints/s-1022/maint"));
+        assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-1022/maint"));
         script(StubServer.status(200, ""));
-        killAndStart();
-        awaitNothingHeld();
-        assertEquals(1024, figure("endpoints_known"));
-        assertEquals(1, figure("endpoints_excluded"));
+        killAndRestart();
+        awaitEmptyJournal();
+        assertEquals(1024, metric("endpoints_known"));
+        assertEquals(1, metric("endpoints_excluded"));
         assertEquals(List.of(), notices, "it was delivered");
     }
 
     @Test
     void theFiguresCountEachEndOnce() throws Exception {
         start();
-        assertEquals(0, figure("served.order"));
-        assertEquals(0, figure("failed.once"));
-        handIn("one", "order");
-        awaitNothingHeld();
+        assertEquals(0, metric("served.order"));
+        assertEquals(0, metric("failed.once"));
+        submit("one", "order");
+        awaitEmptyJournal();
         script(StubServer.status(500, ""));
-        handIn("two", "once");
+        submit("two", "once");
         awaitNotice("dead");
         String stray = message("stray", "order", "hello").replace("dest=7", "dest=8");
-        assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), stray).line());
+        assertEquals("HTTP/1.1 503 Service Unavailable", exchange(client(), stray).line());
         script(StubServer.silent());
-        handIn("three", "order");
+        submit("three", "order");
         StubServer.await("it is out", () -> calls().size() == 3);
-        assertEquals(List.of(1, 0, 1, 0, 0, 1, 3, 1), List.of(figure("served.order"), figure("served.once"),
-                figure("refused.order"), figure("refused.once"), figure("failed.order"), figure("failed.once"),
-                figure("attempts"), figure("in_flight")));
+        assertEquals(List.of(1, 0, 1, 0, 0, 1, 3, 1), List.of(metric("served.order"), metric("served.once"),
+                metric("refused.order"), metric("refused.once"), metric("failed.order"), metric("failed.once"),
+                metric("attempts"), metric("in_flight")));
     }
 
     @Test
     void clientsAreSentAwayAndTakenAgain() throws Exception {
         start();
         Socket kept = client();
-        assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("one", "order", "hello")).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("one", "order", "hello")).line());
         Socket idle = client();
-        assertEquals("HTTP/1.1 202 Accepted", ask(idle, message("two", "order", "hello")).line());
-        assertEquals("200 ok\n", operator("POST", "/healthcheck/fail"));
-        assertEquals("503", health());
-        assertEquals("200 ok\n", operator("GET", "/healthcheck"), "the process itself is well");
-        StubServer.Message last = ask(kept, message("three", "order", "hello"));
+        assertEquals("HTTP/1.1 202 Accepted", exchange(idle, message("two", "order", "hello")).line());
+        assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/fail"));
+        assertEquals("503", healthStatus());
+        assertEquals("200 ok\n", operatorRequest("GET", "/healthcheck"), "the process itself is well");
+        StubServer.Message last = exchange(kept, message("three", "order", "hello"));
         assertEquals("HTTP/1.1 202 Accepted", last.line());
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
         assertEquals(-1, idle.getInputStream().read(), "an idle connection is closed");
-        killAndStart();
-        assertEquals("503", health(), "a later life keeps clients away");
-        assertEquals("200 ok\n", operator("POST", "/healthcheck/ok"));
-        assertEquals("200", health());
-        StubServer.Message taken = ask(client(), message("four", "order", "hello"));
+        killAndRestart();
+        assertEquals("503", healthStatus(), "a later life keeps clients away");
+        assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/ok"));
+        assertEquals("200", healthStatus());
+        StubServer.Message taken = exchange(client(), message("four", "order", "hello"));
         assertEquals("HTTP/1.1 202 Accepted", taken.line());
         assertEquals(null, taken.header("Connection"));
     }
@@ -112,16 +112,16 @@
     @Test
     void aMessageIsTakenDeliveredAndForgotten() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitEmptyJournal();
         assertEquals(1, calls().size());
         assertEquals("one", calls().get(0).header("X-Call-Id"));
         assertEquals("key-one", calls().get(0).header("Idempotency-Key"));
         assertEquals("hello", calls().get(0).body());
         assertTrue(notices.isEmpty());
-        killAndStart();
-        handIn("two", "order");
-        awaitNothingHeld();
+        killAndRestart();
+        submit("two", "order");
+        awaitEmptyJournal();
         assertEquals(2, calls().size(), "what was delivered is not sent again by a later life");
     }
 
@@ -129,8 +129,8 @@
     void aMessageThatIsOverIsOwedNothing() throws Exception {
         script(StubServer.status(410, ""));
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitEmptyJournal();
         assertTrue(notices.isEmpty());
     }
 
@@ -138,7 +138,7 @@
     void aMessageThatMayNotBeRepeatedEndsByANotice() throws Exception {
         script(StubServer.status(500, ""));
         start();
-        handIn("one", "once");
+        submit("one", "once");
         awaitNotice("{\"ref\":\"one\",\"result\":\"dead\"}");
         assertEquals(1, calls().size());
     }
@@ -148,10 +148,10 @@
         script(StubServer.status(500, ""));
         reportStatus = 500;
         start();
-        handIn("one", "once");
+        submit("one", "once");
         StubServer.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
-        assertEquals(1, journalled().size());
+        assertEquals(1, journalledMessages().size());
         reportStatus = 204;
         awaitNotice("dead");
     }
@@ -162,7 +162,7 @@
         start();
         for (String id : List.of("one", "two", "three")) {
             String thread = "?thread=" + (id.equals("three") ? "other" : "same");
-            assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, "once", thread, "hello")).line());
+            assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, "once", thread, "hello")).line());
         }
         StubServer.await("the first of each thread", () -> calls().size() == 2);
         assertEquals(Set.of("one", "three"), calls().stream().map(c -> c.header("X-Call-Id"))
@@ -171,7 +171,7 @@
         for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(3, calls().size());
     }
 
@@ -179,10 +179,10 @@
     void aToldWaitIsKept() throws Exception {
         start();
         script(StubServer.status(429, "Retry-After: 0.6\r\n"));
-        handIn("one", "order");
-        StubServer.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        submit("one", "order");
+        StubServer.await("the wait is told", () -> journalledMessages().get(0).attempts.stream().anyMatch(a -> a.neverRan));
         script(StubServer.status(200, ""));
-        handIn("two", "order");
+        submit("two", "order");
         StubServer.await("both delivered", () -> calls().size() == 3);
         long first = calls().stream().mapToLong(StubServer.Message::atNanos).min().orElseThrow();
         for (StubServer.Message later : calls()) {
@@ -194,14 +194,14 @@
     void nothingNewGoesToADrainingEndpoint() throws Exception {
         start();
         for (int round = 0; round < 2; round++) {
-            states = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
+            endpointStates = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
             String generation = generation();
             StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
             int before = endpoints.get(round).requests.size();
             for (int i = 0; i < 4; i++) {
-                handIn("m" + round + i, "order");
-                awaitNothingHeld();
+                submit("m" + round + i, "order");
+                awaitEmptyJournal();
             }
             assertEquals(before, endpoints.get(round).requests.size());
         }
@@ -212,9 +212,9 @@
     void aSilentAgentHoldsNothingUp() throws Exception {
         agentUp = false;
         start();
-        assertEquals("HTTP/1.1 200 OK", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        handIn("one", "order");
-        awaitNothingHeld();
+        assertEquals("HTTP/1.1 200 OK", exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
+        submit("one", "order");
+        awaitEmptyJournal();
         agentUp = true;
         StubServer.await("the list is asked for again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
@@ -222,15 +222,15 @@
 
     @Test
     void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        AcceptedMessage old = earlierLife("order", 1000, 20_000, false);
-        known = false;
+        AcceptedMessage old = leaveEarlierRun("order", 1000, 20_000, false);
+        listInConfig = false;
         agentUp = false;
         start();
-        assertEquals("503", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
-        assertEquals("503", ask(client(), message("one", "order", "hello")).line().split(" ")[1]);
+        assertEquals("503", exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
+        assertEquals("503", exchange(client(), message("one", "order", "hello")).line().split(" ")[1]);
         agentUp = true;
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(List.of(old.id), calls().stream().map(c -> c.header("X-Call-Id")).toList());
-        assertEquals("200", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
+        assertEquals("200", exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
     }
 }
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -30,7 +30,7 @@
         script(StubServer.silent());
         start(60_000);
         Socket kept = client();
-        assertEquals("202", ask(kept, message("one", "once", "hello")).line().split(" ")[1]);
+        assertEquals("202", exchange(kept, message("one", "once", "hello")).line().split(" ")[1]);
         StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
@@ -42,7 +42,7 @@
                 return true;
             }
         });
-        StubServer.Message last = ask(kept, message("two", "order", "hello"));
+        StubServer.Message last = exchange(kept, message("two", "order", "hello"));
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
@@ -52,24 +52,24 @@
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
-        assertTrue(journalled().isEmpty());
+        assertTrue(journalledMessages().isEmpty());
     }
 
     @Test
     void aDrainEndsInTimeAndTheJournalHoldsTheRest() throws Exception {
         script(StubServer.silent());
         start();
-        handIn("one", "order");
+        submit("one", "order");
         StubServer.await("the call", () -> calls().size() == 1);
         sender.drain();
-        assertEquals("one", journalled().get(0).id);
-        assertEquals(1, journalled().get(0).attempts.size());
+        assertEquals("one", journalledMessages().get(0).id);
+        assertEquals(1, journalledMessages().get(0).attempts.size());
     }
 
     /** Told to end before it began: it hung until it was killed, as there was nothing to end yet. */
     @Test
     void anEndThatIsToldBeforeTheStartIsKept() throws Exception {
-        sender = new Sender(config(), Sender.TAKING_MS, Sender.CLOSING_MS);
+        sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
         Thread drain = new Thread(sender::drain);
         drain.start();
         drain.join(20_000);
@@ -81,7 +81,7 @@
     void anEndThatIsToldInTheReplayCostsNothingUntried() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (String id : List.of("first", "second", "third")) {
-                untried(journal, id, "once", 7, Optional.of("thread"));
+                unattempted(journal, id, "once", 7, Optional.of("thread"));
             }
         }
         Thread drain = new Thread(() -> sender.drain());
@@ -96,7 +96,7 @@
         drain.join(20_000);
         assertFalse(drain.isAlive());
         assertEquals(List.of(), notices);
-        assertEquals(3, calls().size() + journalled().stream().filter(held -> held.attempts.isEmpty()).count());
+        assertEquals(3, calls().size() + journalledMessages().stream().filter(held -> held.attempts.isEmpty()).count());
     }
 
     private static void awaitState(Thread thread, Thread.State state) {
@@ -129,7 +129,7 @@
         StubServer.Message answer = StubServer.read(new BufferedInputStream(late.getInputStream()), 0);
         assertEquals("HTTP/1.1 202 Accepted", answer.line());
         drain.join();
-        assertEquals(1, calls().size() + journalled().size(), "delivered, or left to the next life");
+        assertEquals(1, calls().size() + journalledMessages().size(), "delivered, or left to the next life");
     }
 
     /** The answer lies in the socket when the closing time is over: it counted as one that may have run. */
@@ -139,7 +139,7 @@
         script(StubServer.silent());
         start(closingMs);
         Socket kept = client();
-        assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("one", "once", "hello")).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("one", "once", "hello")).line());
         StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         AtomicLong begun = new AtomicLong();
@@ -161,7 +161,7 @@
         };
         drain.start();
         StubServer.await("it closes", () -> begun.get() > 0);
-        assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("two", "plain", "hello")).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("two", "plain", "hello")).line());
         assertTrue(endedBefore.get(30, TimeUnit.SECONDS), "the answer is read while the process still runs");
         drain.join();
     }
@@ -172,21 +172,21 @@
         script(StubServer.silent());
         start(1500);
         Socket kept = client();
-        handIn("one", "order");
+        submit("one", "order");
         StubServer.await("the call", () -> calls().size() == 1);
         sender.drain();
         StubServer.write(kept, message("late", "plain", "hello"));
         // The loop reads what has come once before it answers the second of these.
-        operator("GET", "/stats");
-        operator("GET", "/stats");
-        assertEquals(List.of("one"), journalled().stream().map(held -> held.id).toList());
+        operatorRequest("GET", "/stats");
+        operatorRequest("GET", "/stats");
+        assertEquals(List.of("one"), journalledMessages().stream().map(held -> held.id).toList());
         assertEquals(0, kept.getInputStream().available());
     }
 
     /** The settings were replaced while they were read, or before anything was begun: the old address stood for good. */
     @Test
     void aNewDiscoveryAddressThatIsToldBeforeTheStartIsKept() throws Exception {
-        sender = new Sender(config(), Sender.TAKING_MS, Sender.CLOSING_MS);
+        sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
         try (StubServer old = agent) {
             agent = new StubServer(this::agent);
             config();
@@ -224,12 +224,12 @@
         script(StubServer.silent());
         config();
         Process first = process();
-        handIn("one", "order");
+        submit("one", "order");
         StubServer.await("the call", () -> calls().size() == 1);
         first.destroyForcibly().waitFor();
         script(StubServer.status(200, ""));
         Process second = process();
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(2, calls().size());
         second.destroy();
         assertNotEquals(137, second.waitFor());
@@ -271,7 +271,7 @@
         StubServer.await("discovery is asked", () -> !agent.requests.isEmpty());
         reportStatus = 500;
         script(StubServer.status(500, ""));
-        handIn("one", "once");
+        submit("one", "once");
         StubServer.await("a notice is tried", () -> agent.requests.stream().anyMatch(r -> r.line().startsWith("POST")));
         try (StubServer old = agent) {
             agent = new StubServer(this::agent);
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -255,7 +255,7 @@
     private void terminate(SenderProcess process) throws Exception {
         serving = process != current;
         note("SIGTERM");
-        closingNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sender.CLOSING_MS) - CROSSING_NANOS;
+        closingNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sender.SHUTDOWN_LIMIT_MS) - CROSSING_NANOS;
         process.signal("TERM");
         long killAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TERM_TO_KILL_MS);
         while (process.isAlive() && System.nanoTime() < killAt) {
--- a/src/test/java/starlingvalve/net/SubmissionServerTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -241,7 +241,7 @@
                 if (crossing.isPresent()) {
                     try (Socket client = crossing.get()) {
                         StubServer.Message answer =
-                                SenderFixture.ask(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+                                SenderFixture.exchange(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
                         assertEquals("HTTP/1.1 200 OK", answer.line());
                     }
                 }
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -17,7 +17,7 @@
     /** Starts a new version beside the one that runs, and returns the old one. */
     private Sender upgrade() throws Exception {
         Sender old = sender;
-        listen = "127.0.0.1:" + address.getPort();
+        listenAddress = "127.0.0.1:" + address.getPort();
         start();
         return old;
     }
@@ -26,28 +26,28 @@
     void aNewVersionTakesOverWithWhatIsOutAndWithTheOldOnesClients() throws Exception {
         start();
         Socket kept = client();
-        assertEquals("HTTP/1.1 202 Accepted", ask(kept, message("before", "order", "hello")).line());
-        awaitNothingHeld();
+        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("before", "order", "hello")).line());
+        awaitEmptyJournal();
         script(StubServer.silent());
-        handIn("out", "once");
+        submit("out", "once");
         StubServer.await("it is out", () -> calls().size() == 2);
-        assertEquals("200 ok\n", operator("POST", "/endpoints/s-1/maint"));
+        assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-1/maint"));
         Sender old = upgrade();
         try {
-            assertEquals("200 ok\n", operator("GET", "/healthcheck"));
-            assertEquals(1, figure("in_flight"));
-            assertEquals(1, figure("endpoints_excluded"));
-            assertEquals(0, figure("served.order"), "counts start with the process");
-            StubServer.Message passed = ask(kept, message("passed", "order", "hello"));
+            assertEquals("200 ok\n", operatorRequest("GET", "/healthcheck"));
+            assertEquals(1, metric("in_flight"));
+            assertEquals(1, metric("endpoints_excluded"));
+            assertEquals(0, metric("served.order"), "counts start with the process");
+            StubServer.Message passed = exchange(kept, message("passed", "order", "hello"));
             assertEquals("HTTP/1.1 202 Accepted", passed.line());
             assertEquals("close", passed.header("Connection"));
-            handIn("after", "order");
+            submit("after", "order");
             StubServer.await("both are out", () -> calls().size() == 4);
             for (StubServer endpoint : endpoints) {
                 endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
-            awaitNothingHeld();
-            assertEquals(List.of(1, 2), List.of(figure("served.once"), figure("served.order")));
+            awaitEmptyJournal();
+            assertEquals(List.of(1, 2), List.of(metric("served.once"), metric("served.order")));
             assertEquals(4, calls().size(), "nothing is sent twice");
             assertEquals(List.of(), notices);
         } finally {
@@ -59,7 +59,7 @@
     void whatTheOldProcessHadOutMayHaveRunIfItIsKilled() throws Exception {
         script(StubServer.silent());
         start();
-        handIn("once", "once");
+        submit("once", "once");
         StubServer.await("it is out", () -> calls().size() == 1);
         upgrade().kill();
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
@@ -80,12 +80,12 @@
         }
         assertEquals("HTTP/1.1 202 Accepted",
                 StubServer.read(new BufferedInputStream(kept.getInputStream()), 0).line());
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(1, calls().size());
         Sender old = upgrade();
         try {
-            handIn("after", "order");
-            awaitNothingHeld();
+            submit("after", "order");
+            awaitEmptyJournal();
         } finally {
             old.kill();
         }
@@ -95,19 +95,19 @@
     void aSocketThatNobodyListensAtHoldsNoStartUp() throws Exception {
         Files.createFile(config().handover());
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitEmptyJournal();
     }
 
     @Test
     void clientsStaySentAwayOverAnUpgrade() throws Exception {
         start();
-        assertEquals("200 ok\n", operator("POST", "/healthcheck/fail"));
+        assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/fail"));
         Sender old = upgrade();
         try {
-            assertEquals("503", health());
-            assertEquals("200 ok\n", operator("POST", "/healthcheck/ok"));
-            assertEquals("200", health());
+            assertEquals("503", healthStatus());
+            assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/ok"));
+            assertEquals("200", healthStatus());
         } finally {
             old.kill();
         }
