--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -38,101 +38,109 @@
 import sun.misc.SignalHandler;
 
 /**
- * One real sender: the event loop, the clock, and the names that the module knows by numbers. The loop's
- * thread alone touches the module and all that hangs on it, so nothing here is locked. It decides nothing.
+ * A running sender: owns the event loop and the clock, and connects the servers, the endpoint connections, the journal,
+ * discovery and the handover to the {@link DeliveryPolicy}. The policy makes all delivery decisions; this class reports
+ * events to it, carries out its actions, and maps endpoint ids to the numbers by which the policy knows them. Only the
+ * event loop's thread uses the policy and the components around it, so nothing here is locked.
  */
 public final class Sender implements DeliveryPolicy.Actions {
-    /** From SIGTERM: new connections come for so long at most. */
+    /** Time from SIGTERM in which new client connections are still accepted. */
     static final long SHUTDOWN_ACCEPT_MS = 450;
-    /** From SIGTERM: calls out may last till here; SIGKILL may come at 3.7 s. */
+    /** Time from SIGTERM by which calls in flight must have ended; SIGKILL may follow 3.7 s after SIGTERM. */
     static final long SHUTDOWN_LIMIT_MS = 3300;
-    private static final long DRAIN_POLL_MS = 20;
-    /** Longest warm-up. */
-    private static final long WARM_MS = 2300;
-    /** Records that the disk did not take are tried again so often. */
+    private static final long SHUTDOWN_POLL_MS = 20;
+    /** Maximum duration of the JVM warm-up before the sender serves. */
+    private static final long WARMUP_LIMIT_MS = 2300;
+    /** Interval between attempts to write journal records that the disk did not accept. */
     private static final long JOURNAL_RETRY_MS = 100;
-    /** So long it may take on a busy machine until the new process of an upgrade decides, and is heard by the platform. */
+    /**
+     * Longest time that a handover is expected to take on a busy machine, until the successor makes decisions and its
+     * notices reach the platform.
+     */
     private static final double HANDOVER_PAUSE_MS = 1000;
-    /** For a moment there may be no socket to listen at. */
-    private static final long LISTEN_AGAIN_MS = 20;
+    /** Interval between attempts to listen for clients; the system may be short of sockets for a moment. */
+    private static final long LISTEN_RETRY_MS = 20;
     private static final String ADDRESS_IN_USE = "Address already in use";
-    /** A turn that a fault has broken off is followed by another after so long. */
-    private static final long FAULT_RETRY_MS = 20;
-    /** After so long the client of a message may come again that a fault of the program has cost its delivery. */
+    /** Delay after which a turn that was aborted by a fault is followed by another one. */
+    private static final long TURN_RETRY_MS = 20;
+    /** Retry delay given to the client of a message that was not delivered because of a fault in this program. */
     private static final double FAULT_RETRY_AFTER_MS = 1000;
-    /** Stands for no message in what passes between two processes. */
+    /** Message number that means "no message" on the handover connection between two processes. */
     private static final long NO_MESSAGE = -1;
-    /** A new version that gets no list in this time takes over with the old process's list. */
-    private static final long PREPARE_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    /** Without an endpoint list from discovery by then, a successor takes over with its predecessor's list. */
+    private static final long PREPARE_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final Config config;
-    private final long takingMs;
-    private final long closingMs;
-    private final long warmMs;
+    private final long shutdownAcceptMs;
+    private final long shutdownLimitMs;
+    private final long warmupLimitMs;
     private final StartRetry startRetry;
     private final EventLoopGroup group;
     private final EventLoop loop;
-    /** Accepts connections, and does nothing else. */
+    /** Only accepts connections. */
     private final EventLoopGroup acceptorGroup;
     private final EventLoop acceptor;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
     private final EndpointRegistry registry = new EndpointRegistry();
-    private final OpenMessages open = new OpenMessages();
-    /** Ends what the module does not end in time; there is one once the journal, with its clock, is owned. */
+    private final OpenMessages openMessages = new OpenMessages();
+    /** Ends messages that the policy does not end in time; null until this process owns the journal and its clock. */
     private DeadlineWatchdog watchdog;
-    /** Time was up for these while a new process was taking over; they are this one's again if it does not come to that. */
-    private final List<AcceptedMessage> overdueInHandover = new ArrayList<>();
-    /** The last word on what may be sent or ended; there is one once the journal is owned. */
+    /** Messages whose deadline passed during a handover; this process watches them again if the handover fails. */
+    private final List<AcceptedMessage> overdueDuringHandover = new ArrayList<>();
+    /** Final check of what may be sent or ended; null until this process owns the journal. */
     private MessageRules rules;
-    /** Attempts that are out, by message and attempt. */
-    private final Map<Out, Endpoints.Call> calls = new HashMap<>();
-    private final DeliveryPolicy relay;
+    /** The calls of the attempts in flight, by message number and attempt number. */
+    private final Map<Out, Endpoints.Call> callsInFlight = new HashMap<>();
+    private final DeliveryPolicy policy;
     private Journal journal;
     private Endpoints endpoints;
     private Discovery discovery;
-    /** Whether calls may go out by the list as it stands. */
+    /** Decides whether calls may be sent by the current endpoint list. */
     private ListLease listLease;
-    /** The module has something to send, and a turn follows once it may. */
-    private boolean turnAwaitsList;
+    /** The policy has something to send, and a turn is opened once the list lease is valid. */
+    private boolean turnAwaitsLease;
     private NoticeClient notices;
     private SubmissionServer intake;
     private OperatorServer ops;
-    /** Where the platform's agent is, by the newest settings. */
+    /** Address of the platform's discovery agent, by the newest configuration. */
     private InetSocketAddress discoveryAddress;
     private InetSocketAddress opsAddress;
     private boolean turnOpen;
-    private double clock;
-    private boolean closing;
+    /** Time that all events of the open turn share; see {@link #openTurn}. */
+    private double turnTimeMs;
+    private boolean shuttingDown;
     private Handover handover;
     private Takeover takeover;
-    private final PredecessorCalls inherited = new PredecessorCalls();
-    private final UnattemptedMessages untried = new UnattemptedMessages();
+    private final PredecessorCalls predecessorCalls = new PredecessorCalls();
+    private final UnattemptedMessages unattempted = new UnattemptedMessages();
     private StateLock lock;
-    private boolean owner;
-    /** Records wait for the disk, and are to be tried again. */
-    private boolean catchUpDue;
-    /** Nothing is decided: a new process is taking over. */
+    private boolean ownsJournal;
+    /** A further attempt to write pending journal records is scheduled. */
+    private boolean journalRetryScheduled;
+    /** No decisions are made, because a successor is taking over or this process failed to become the owner. */
     private boolean frozen;
-    private final CompletableFuture<InetSocketAddress> serving = new CompletableFuture<>();
-    /** A list is known and the journal is replayed. */
+    /** Completed with the address for clients once they can connect, or with the reason why they can't. */
+    private final CompletableFuture<InetSocketAddress> boundAddress = new CompletableFuture<>();
+    /** An endpoint list is known and the journal's messages are back in the policy. */
     private boolean ready;
     private boolean listening;
     private final Stats stats;
     private final EventLog events = EventLog.ofThisProcess();
 
-    Sender(Config config, long takingMs, long closingMs) throws IOException {
-        this(config, takingMs, closingMs, 0, relay -> relay);
+    Sender(Config config, long shutdownAcceptMs, long shutdownLimitMs) throws IOException {
+        this(config, shutdownAcceptMs, shutdownLimitMs, 0, policy -> policy);
     }
 
-    /** {@code through} is what the module is told through: tests stand between. */
-    Sender(Config config, long takingMs, long closingMs, long warmMs, UnaryOperator<DeliveryPolicy> through)
-            throws IOException {
-        this(config, takingMs, closingMs, warmMs, new StartRetry(StartRetry.PATIENCE_MS), through);
+    /** Events reach the policy through {@code decorator}, with which tests intercept them. */
+    Sender(Config config, long shutdownAcceptMs, long shutdownLimitMs, long warmupLimitMs,
+            UnaryOperator<DeliveryPolicy> decorator) throws IOException {
+        this(config, shutdownAcceptMs, shutdownLimitMs, warmupLimitMs, new StartRetry(StartRetry.PATIENCE_MS),
+                decorator);
     }
 
-    Sender(Config config, long takingMs, long closingMs, long warmMs, StartRetry startRetry,
-            UnaryOperator<DeliveryPolicy> through) throws IOException {
+    Sender(Config config, long shutdownAcceptMs, long shutdownLimitMs, long warmupLimitMs, StartRetry startRetry,
+            UnaryOperator<DeliveryPolicy> decorator) throws IOException {
         this.startRetry = startRetry;
         this.group = newEventLoop();
         this.loop = group.next();
@@ -140,34 +148,34 @@
         this.acceptor = acceptorGroup.next();
         this.config = config;
         this.discoveryAddress = config.discovery();
-        this.warmMs = warmMs;
-        this.takingMs = takingMs;
-        this.closingMs = closingMs;
+        this.warmupLimitMs = warmupLimitMs;
+        this.shutdownAcceptMs = shutdownAcceptMs;
+        this.shutdownLimitMs = shutdownLimitMs;
         this.stats = new Stats(config.classes());
-        this.relay = through.apply(DeliveryPolicy.create(config.settings(), config.seed(), this));
+        this.policy = decorator.apply(DeliveryPolicy.create(config.settings(), config.seed(), this));
     }
 
     private EventLoopGroup newEventLoop() throws IOException {
-        return startRetry.untilDone("making an event loop",
+        return startRetry.untilDone("creating an event loop",
                 () -> new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()));
     }
 
-    /** Runs a sender until it is told to end; returns the exit code. */
+    /** Runs a sender until a signal ends it; returns the process's exit code. */
     public static int serve(Map<String, String> env) {
         try {
-            // The JVM's own answer to SIGHUP is to end. One that comes while the settings are read is heeded after.
-            CompletableFuture<Sender> made = new CompletableFuture<>();
-            SignalHandler before = Signal.handle(new Signal("HUP"),
-                    hangUp -> made.thenAccept(sender -> sender.reconfigure(env)));
-            if (before == SignalHandler.SIG_IGN) {
-                // Inherited, and the JVM leaves it so.
-                Log.line("what started this has SIGHUP ignored: no new configuration will be heeded");
+            // By default the JVM exits on SIGHUP. One that arrives while the settings are read takes effect afterwards.
+            CompletableFuture<Sender> createdSender = new CompletableFuture<>();
+            SignalHandler previousHandler = Signal.handle(new Signal("HUP"),
+                    hangUp -> createdSender.thenAccept(sender -> sender.reconfigure(env)));
+            if (previousHandler == SignalHandler.SIG_IGN) {
+                // The disposition is inherited from the parent process, and the JVM does not change it.
+                Log.line("the parent process left SIGHUP ignored: a new configuration takes effect at a restart only");
             }
             StartRetry startRetry = new StartRetry(StartRetry.PATIENCE_MS);
             Sender sender = new Sender(Config.read(env, startRetry), SHUTDOWN_ACCEPT_MS, SHUTDOWN_LIMIT_MS,
-                    WARM_MS, startRetry, relay -> relay);
-            made.complete(sender);
-            // SIGTERM may come at any moment: once the journal is owned, calls and clients are owed their ends.
+                    WARMUP_LIMIT_MS, startRetry, policy -> policy);
+            createdSender.complete(sender);
+            // SIGTERM may come at any moment; once the journal is owned, calls and client requests must be finished.
             Runtime.getRuntime().addShutdownHook(new Thread(sender::drain, "drain"));
             sender.start();
             sender.stopped.await();
@@ -181,50 +189,51 @@
     }
 
     /**
-     * Comes to own the journal, from an old process if one is there, and begins to serve; returns the address
-     * when clients can connect to it.
+     * Becomes the owner of the journal, taking over from a predecessor process if there is one, and serves. Returns the
+     * address for clients once they can connect to it.
      */
     InetSocketAddress start() throws IOException {
-        loop.submit(this::open).syncUninterruptibly();
+        loop.submit(this::openComponents).syncUninterruptibly();
         if (config.ops().isPresent()) {
             opsAddress = startRetry.untilDone("listening for operators", () -> ops.listen(config.ops().get()));
             Log.line(config.name() + " takes operators' calls at " + Endpoints.hostPort(opsAddress));
         }
         if (!Files.exists(config.state().resolve("journal")) || takeover.isOwnedElsewhere()) {
-            // Nobody waits for this process: clients come once it is ready, or the old one still serves.
-            Warmup.run(config, loop, warmMs);
+            // No client waits for this process: there is no earlier run, or the predecessor still serves.
+            Warmup.run(config, loop, warmupLimitMs);
         }
         loop.execute(this::takeOver);
         try {
-            InetSocketAddress address = serving.get();
+            InetSocketAddress address = boundAddress.get();
             Log.line(config.name() + " listens at " + Endpoints.hostPort(address));
             return address;
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e.getCause());
         } catch (InterruptedException e) {
-            throw new IOException("interrupted before it served", e);
+            throw new IOException("interrupted while starting", e);
         }
     }
 
-    /** Told to end before it owned anything, this process is not to begin. */
+    /** Starts the takeover, unless the process was told to end before it owned the journal. */
     private void takeOver() {
-        if (!closing) {
+        if (!shuttingDown) {
             takeover.begin();
         }
     }
 
-    private void open() {
+    /** Creates the components and starts discovery; runs on the event loop. */
+    private void openComponents() {
         int openAtStart = DescriptorBudget.openNow();
         DescriptorBudget budget = DescriptorBudget.divide(config.sockets(), openAtStart, config.settings().slots());
         Log.line(budget + "; " + openAtStart + " were open at the start");
         endpoints = new Endpoints(loop, config.dialMs(), config.settings().keepAliveMs(),
                 config.settings().senders(), budget.idleEndpoints(), new EndpointCallbacks());
-        notices = new NoticeClient(loop, new AgentConnection(loop, discoveryAddress), this::heard);
-        intake = new SubmissionServer(acceptor, loop, budget.clients(), new Clients());
-        ops = new OperatorServer(acceptor, loop, new Orders());
+        notices = new NoticeClient(loop, new AgentConnection(loop, discoveryAddress), this::noticeAcknowledged);
+        intake = new SubmissionServer(acceptor, loop, budget.clients(), new ClientCallbacks());
+        ops = new OperatorServer(acceptor, loop, new OperatorCallbacks());
         handover = new Handover(acceptor, loop, new HandoverCallbacks());
         takeover = new Takeover(loop, config.state(), config.handover(), startRetry, new TakeoverCallbacks());
-        EndpointList list = new EndpointList(this::listed, events);
+        EndpointList list = new EndpointList(this::endpointListChanged, events);
         List<Discovery.Source> checks = new ArrayList<>();
         for (int i = 0; i < ListLease.MOST_CHECKS; i++) {
             checks.add(new AgentConnection(loop, discoveryAddress));
@@ -237,303 +246,338 @@
         new LoopMonitor(loop, events).start();
     }
 
-    /** This process owns the journal from now on: what it holds goes on, with what the old process passed. */
-    private void own(StateLock token, Optional<JsonNode> state) throws IOException {
-        lock = token;
-        journal = new Journal(config.state(), config.diskBytes(), config.settings().maxAttempts(), unwritten(state));
-        watchdog = new DeadlineWatchdog(loop, journal.clock()::nowMs, this::overdue);
+    /**
+     * Makes this process the owner of the journal. Processing of its messages continues, with the state that the
+     * predecessor passed on, if any.
+     */
+    private void own(StateLock acquiredLock, Optional<JsonNode> state) throws IOException {
+        lock = acquiredLock;
+        journal = new Journal(config.state(), config.diskBytes(), config.settings().maxAttempts(),
+                unwrittenRecords(state));
+        watchdog = new DeadlineWatchdog(loop, journal.clock()::nowMs, this::messageOverdue);
         rules = new MessageRules(journal.clock()::nowMs, this::repeats, events);
-        journal.whenBehind(this::catchUpLater);
-        catchUpLater();
-        Optional<DeliveryPolicy.Snapshot> memory = state.flatMap(this::memory);
-        if (memory.isPresent()) {
+        journal.whenBehind(this::scheduleJournalRetry);
+        scheduleJournalRetry();
+        Optional<DeliveryPolicy.Snapshot> snapshot = state.flatMap(this::readSnapshot);
+        if (snapshot.isPresent()) {
             state.get().path("endpoints").forEach(id -> registry.number(id.asText()));
             journal.reserve(state.get().path("numbers").asLong());
         }
-        state.ifPresent(s -> discovery.inherit(s.path("list")));
+        state.ifPresent(node -> discovery.inherit(node.path("list")));
         discovery.withdraw(journal.withdrawn());
         intake.drain(journal.drained());
         for (String endpoint : journal.maintained()) {
-            relay.maintenance(openTurn(), registry.number(endpoint), true);
+            policy.maintenance(openTurn(), registry.number(endpoint), true);
         }
-        owner = true;
-        ready = memory.isPresent();
+        ownsJournal = true;
+        ready = snapshot.isPresent();
         discovery.tell();
-        if (memory.isPresent()) {
-            inherit(state.get(), memory.get());
+        if (snapshot.isPresent()) {
+            restorePredecessorState(state.get(), snapshot.get());
         }
         handover.listen(config.handover());
     }
 
-    /** How messages of a class may be repeated, if the configuration still knows it. */
+    /** Returns how messages of a class may be repeated, if the configuration still has that class. */
     private Optional<MessageRules.Repeats> repeats(String messageClass) {
-        int number = config.classes().indexOf(messageClass);
-        if (number < 0) {
+        int classNumber = config.classes().indexOf(messageClass);
+        if (classNumber < 0) {
             return Optional.empty();
         }
-        DeliveryPolicy.MessageClass known = config.settings().classes().get(number);
-        return Optional.of(new MessageRules.Repeats(known.effect(), known.windowMs()));
+        DeliveryPolicy.MessageClass settings = config.settings().classes().get(classNumber);
+        return Optional.of(new MessageRules.Repeats(settings.effect(), settings.windowMs()));
     }
 
-    /** Records that the disk did not take from the old process. */
-    private static byte[] unwritten(Optional<JsonNode> state) throws IOException {
-        return state.isPresent() && state.get().has("unwritten") ? state.get().path("unwritten").binaryValue() : new byte[0];
+    /** Returns the journal records that the predecessor could not write to disk. */
+    private static byte[] unwrittenRecords(Optional<JsonNode> state) throws IOException {
+        return state.isPresent() && state.get().has("unwritten") ? state.get().path("unwritten").binaryValue()
+                : new byte[0];
     }
 
-    /** The disk did not take a record: it is tried again until it does, whether or not anything else happens. */
-    private void catchUpLater() {
-        if (catchUpDue) {
+    /** Retries pending journal records until the disk accepts them, even if no further event occurs. */
+    private void scheduleJournalRetry() {
+        if (journalRetryScheduled) {
             return;
         }
-        catchUpDue = true;
+        journalRetryScheduled = true;
         loop.schedule(() -> {
-            catchUpDue = false;
+            journalRetryScheduled = false;
             if (!frozen && !journal.catchUp()) {
-                catchUpLater();
+                scheduleJournalRetry();
             }
         }, JOURNAL_RETRY_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What the old process knew, if it can be read. */
-    private Optional<DeliveryPolicy.Snapshot> memory(JsonNode state) {
+    /** Returns the policy's state as of the predecessor, or nothing if it can't be read. */
+    private Optional<DeliveryPolicy.Snapshot> readSnapshot(JsonNode state) {
         List<String> classes = new ArrayList<>();
         state.path("classes").forEach(name -> classes.add(name.asText()));
         try {
-            DeliveryPolicy.Snapshot memory =
+            DeliveryPolicy.Snapshot snapshot =
                     HandoverConnection.JSON.treeToValue(state.path("memory"), DeliveryPolicy.Snapshot.class);
-            return Optional.of(classes.equals(config.classes()) ? memory : withOwnClasses(memory, classes));
+            return Optional.of(classes.equals(config.classes()) ? snapshot : withLocalClassNumbers(snapshot, classes));
         } catch (IOException | RuntimeException e) {
-            Log.line("the old process's state can't be read, so this is a plain start: " + e.getMessage());
+            Log.line("the predecessor's state can't be read; starting without it: " + e.getMessage());
             return Optional.empty();
         }
     }
 
-    /** By the numbers that the classes have here; messages of a class that is gone are left out, and so given up. */
-    private DeliveryPolicy.Snapshot withOwnClasses(DeliveryPolicy.Snapshot memory, List<String> classes) {
+    /**
+     * Translates message classes to their numbers in this process's configuration. Messages of a class that no longer
+     * exists are omitted, and are therefore given up.
+     */
+    private DeliveryPolicy.Snapshot withLocalClassNumbers(DeliveryPolicy.Snapshot snapshot, List<String> classes) {
         List<DeliveryPolicy.MessageSnapshot> messages = new ArrayList<>();
-        for (DeliveryPolicy.MessageSnapshot known : memory.messages()) {
-            int messageClass = config.classes().indexOf(classes.get(known.message().messageClass()));
+        for (DeliveryPolicy.MessageSnapshot previous : snapshot.messages()) {
+            int messageClass = config.classes().indexOf(classes.get(previous.message().messageClass()));
             if (messageClass >= 0) {
-                messages.add(known.withClass(messageClass));
+                messages.add(previous.withClass(messageClass));
             }
         }
-        return new DeliveryPolicy.Snapshot(memory.endpoints(), messages, memory.keyRests(), memory.firstSends(),
-                memory.copies(), memory.retries());
+        return new DeliveryPolicy.Snapshot(snapshot.endpoints(), messages, snapshot.keyRests(), snapshot.firstSends(),
+                snapshot.copies(), snapshot.retries());
     }
 
-    private void inherit(JsonNode state, DeliveryPolicy.Snapshot memory) {
-        double age = Math.max(0, journal.clock().nowMs() - state.path("at").asLong());
-        Set<Long> remembered = new HashSet<>();
-        for (DeliveryPolicy.MessageSnapshot m : memory.messages()) {
-            remembered.add(m.message().id());
-            inherited.openCalls(m.message().id(), m.openCalls());
-            for (int i = 0; i < m.attempts().size(); i++) {
-                if (m.attempts().get(i).out()) {
-                    inherited.out(new Out(m.message().id(), i));
+    /** Restores the policy's state and the open messages as the predecessor handed them over. */
+    private void restorePredecessorState(JsonNode state, DeliveryPolicy.Snapshot snapshot) {
+        double ageMs = Math.max(0, journal.clock().nowMs() - state.path("at").asLong());
+        Set<Long> inSnapshot = new HashSet<>();
+        for (DeliveryPolicy.MessageSnapshot message : snapshot.messages()) {
+            inSnapshot.add(message.message().id());
+            predecessorCalls.openCalls(message.message().id(), message.openCalls());
+            for (int i = 0; i < message.attempts().size(); i++) {
+                if (message.attempts().get(i).out()) {
+                    predecessorCalls.out(new Out(message.message().id(), i));
                 }
             }
         }
-        Predicate<AcceptedMessage> heard = heardByClients(state, remembered);
-        for (AcceptedMessage held : journal.held()) {
-            inherited.held(held);
-            if (held.over) {
-                notices.owe(held);
+        Predicate<AcceptedMessage> acknowledged = acknowledgedByClients(state, inSnapshot);
+        for (AcceptedMessage accepted : journal.held()) {
+            predecessorCalls.held(accepted);
+            if (accepted.over) {
+                notices.owe(accepted);
             } else {
-                addOpen(held);
-                held.told = heard.test(held);
+                addOpen(accepted);
+                accepted.told = acknowledged.test(accepted);
             }
         }
-        event(() -> relay.remember(openTurn(), clock - age, memory));
-        Log.line(config.name() + " took over " + open.size() + " messages, with " + inherited.size() + " calls out");
-        reconcile(age);
+        isolate(() -> policy.remember(openTurn(), turnTimeMs - ageMs, snapshot));
+        Log.line(config.name() + " took over " + openMessages.size() + " messages, with " + predecessorCalls.size()
+                + " calls out");
+        reconcile(ageMs);
     }
 
-    /** Whose messages the old process has told its module; one of an earlier version names them by its module alone. */
-    private static Predicate<AcceptedMessage> heardByClients(JsonNode state, Set<Long> remembered) {
+    /**
+     * Returns which messages' acceptances were acknowledged by their clients and reported to the predecessor's policy.
+     * A predecessor of an earlier version doesn't list the unacknowledged messages; then those in its snapshot count as
+     * acknowledged.
+     */
+    private static Predicate<AcceptedMessage> acknowledgedByClients(JsonNode state, Set<Long> inSnapshot) {
         if (!state.has("unheard")) {
-            return held -> remembered.contains(held.number);
+            return accepted -> inSnapshot.contains(accepted.number);
         }
-        Set<Long> unheard = new HashSet<>();
-        state.path("unheard").forEach(number -> unheard.add(number.asLong()));
-        return held -> !unheard.contains(held.number);
+        Set<Long> unacknowledged = new HashSet<>();
+        state.path("unheard").forEach(number -> unacknowledged.add(number.asLong()));
+        return accepted -> !unacknowledged.contains(accepted.number);
     }
 
     /**
-     * The journal says what is owed, whatever came of the module's memory on its way here: what the module does not go on
-     * with is resumed as after a restart, and it drops what is over.
+     * Makes the policy agree with the journal, which is authoritative whatever happened to the snapshot on its way
+     * here: messages that the policy lacks are recovered as after a restart, and it drops those that have ended.
      */
     private void reconcile(double ageMs) {
-        Set<Long> inModule = relay.open();
-        events.add("takeover", "age_ms", Math.round(ageMs), "open", open.size(), "module", inModule.size(), "calls",
-                inherited.size(), "notices", notices.owed());
-        long steady = journal.clock().nowMs();
-        for (AcceptedMessage held : open.all()) {
-            if (held.told && !inModule.contains(held.number)) {
-                events.add("takeover-not-in-module", "id", held.id, "class", held.messageClass, "attempts",
-                        held.attempts.size(), "left_ms", held.deadlineMs - steady);
-                resume(held, steady);
+        Set<Long> inPolicy = policy.open();
+        events.add("takeover", "age_ms", Math.round(ageMs), "open", openMessages.size(), "module", inPolicy.size(),
+                "calls", predecessorCalls.size(), "notices", notices.owed());
+        long steadyNowMs = journal.clock().nowMs();
+        for (AcceptedMessage accepted : openMessages.all()) {
+            if (accepted.told && !inPolicy.contains(accepted.number)) {
+                events.add("takeover-not-in-module", "id", accepted.id, "class", accepted.messageClass, "attempts",
+                        accepted.attempts.size(), "left_ms", accepted.deadlineMs - steadyNowMs);
+                recover(accepted, steadyNowMs);
             }
         }
-        inModule.stream().filter(number -> open.find(number).isEmpty())
-                .forEach(number -> event(() -> relay.withdrawn(openTurn(), number)));
+        inPolicy.stream().filter(number -> openMessages.find(number).isEmpty())
+                .forEach(number -> isolate(() -> policy.withdrawn(openTurn(), number)));
     }
 
-    /** Where operators call. */
+    /** The address at which this sender takes operators' requests. */
     InetSocketAddress opsAddress() {
         return opsAddress;
     }
 
     /**
-     * The configuration was replaced: of what may change, discovery's address is taken over. Signals that come close
-     * together are heeded on threads of their own: what is read last has to be set last.
+     * Rereads the replaced configuration; only discovery's address may change at run time. Signals in quick succession
+     * are handled on separate threads, so this method is synchronized: the address that is read last must be set last.
      */
     synchronized void reconfigure(Map<String, String> env) {
         try {
-            InetSocketAddress to = ConfigReload.readDiscovery(env);
-            Log.line("discovery is at " + Endpoints.hostPort(to) + " now");
-            loop.execute(() -> discoveryMoved(to));
+            InetSocketAddress newAddress = ConfigReload.readDiscovery(env);
+            Log.line("discovery is at " + Endpoints.hostPort(newAddress) + " now");
+            loop.execute(() -> discoveryAddressChanged(newAddress));
         } catch (InvalidInputException | IOException | IllegalArgumentException e) {
-            Log.line("the new configuration can't be read, the old one stands: " + e.getMessage());
+            Log.line("the new configuration can't be read; the old one stays in effect: " + e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void discoveryMoved(InetSocketAddress to) {
-        discoveryAddress = to;
+    private void discoveryAddressChanged(InetSocketAddress newAddress) {
+        discoveryAddress = newAddress;
         if (discovery != null) {
-            discovery.moved(to);
-            notices.moved(to);
+            discovery.moved(newAddress);
+            notices.moved(newAddress);
         }
     }
 
     /**
-     * What an earlier life held goes back to the module, with what it did; notices owed go out again. Not
-     * before a list is known: without one the module could only give all of it up.
+     * Passes the messages of an earlier process run back to the policy, with their attempts, and sends outstanding
+     * notices again. Runs only once an endpoint list is known: without one the policy could only give all of them up.
      */
-    private void replay() {
-        long steady = journal.clock().nowMs();
-        for (AcceptedMessage held : journal.held()) {
-            if (held.over) {
-                replayNotice(held, steady);
+    private void replayJournal() {
+        long steadyNowMs = journal.clock().nowMs();
+        for (AcceptedMessage accepted : journal.held()) {
+            if (accepted.over) {
+                replayNotice(accepted, steadyNowMs);
             } else {
-                resume(held, steady);
+                recover(accepted, steadyNowMs);
             }
         }
-        Log.line(config.name() + " is ready, with " + open.size() + " messages from its journal");
+        Log.line(config.name() + " is ready, with " + openMessages.size() + " messages from its journal");
     }
 
-    private void replayNotice(AcceptedMessage held, long steady) {
-        notices.owe(held);
-        int messageClass = config.classes().indexOf(held.messageClass);
+    private void replayNotice(AcceptedMessage accepted, long steadyNowMs) {
+        notices.owe(accepted);
+        int messageClass = config.classes().indexOf(accepted.messageClass);
         if (messageClass >= 0) {
-            event(() -> relay.unheard(openTurn(), message(held, messageClass, held.deadlineMs - steady)));
+            isolate(() -> policy.unheard(openTurn(),
+                    policyMessage(accepted, messageClass, accepted.deadlineMs - steadyNowMs)));
         }
     }
 
-    /** A message goes on with what the journal knows of it; what the module can't take is owed its end all the same. */
-    private void resume(AcceptedMessage held, long steady) {
-        addOpen(held);
-        held.told = true;
-        int messageClass = config.classes().indexOf(held.messageClass);
+    /**
+     * Continues a message with what the journal recorded. A message that the policy can't accept is given up, since its
+     * client must still learn its end.
+     */
+    private void recover(AcceptedMessage accepted, long steadyNowMs) {
+        addOpen(accepted);
+        accepted.told = true;
+        int messageClass = config.classes().indexOf(accepted.messageClass);
         if (messageClass < 0) {
-            Log.line("class " + held.messageClass + " is gone; its message is given up");
-            giveUp(held, 0);
-        } else if (!FaultIsolation.run(() -> resume(held, messageClass, steady)) && !held.over) {
-            giveUp(held, 0);
+            Log.line("class " + accepted.messageClass + " is no longer configured; its message is given up");
+            giveUp(accepted, 0);
+        } else if (!FaultIsolation.run(() -> recover(accepted, messageClass, steadyNowMs)) && !accepted.over) {
+            giveUp(accepted, 0);
         }
     }
 
-    private void resume(AcceptedMessage held, int messageClass, long steady) {
+    private void recover(AcceptedMessage accepted, int messageClass, long steadyNowMs) {
         double now = openTurn();
-        double leftMs = held.deadlineMs - steady;
+        double leftMs = accepted.deadlineMs - steadyNowMs;
         List<DeliveryPolicy.EarlierAttempt> earlier = new ArrayList<>();
-        for (AcceptedMessage.Attempt a : held.attempts) {
-            // After another boot the clocks may disagree, and must not move a send into the future.
-            double sentAt = now - Math.max(0, steady - a.sentAtMs);
-            earlier.add(new DeliveryPolicy.EarlierAttempt(registry.number(a.endpoint), sentAt, !a.neverRan));
+        for (AcceptedMessage.Attempt attempt : accepted.attempts) {
+            // After a reboot the clocks may disagree; a send must not move into the future because of that.
+            double sentAt = now - Math.max(0, steadyNowMs - attempt.sentAtMs);
+            earlier.add(new DeliveryPolicy.EarlierAttempt(registry.number(attempt.endpoint), sentAt,
+                    !attempt.neverRan));
         }
         if (earlier.isEmpty()) {
-            untried.found(held.number, leftMs);
+            unattempted.found(accepted.number, leftMs);
         }
-        relay.resumed(now, message(held, messageClass, leftMs), earlier);
+        policy.resumed(now, policyMessage(accepted, messageClass, leftMs), earlier);
     }
 
-    /** From now on this process owes a message its end. */
-    private void addOpen(AcceptedMessage held) {
-        open.add(held);
-        watchdog.watch(held);
+    /** Registers a message that this process must end from now on. */
+    private void addOpen(AcceptedMessage accepted) {
+        openMessages.add(accepted);
+        watchdog.watch(accepted);
     }
 
-    /** Ends what the module does not: its client may come again, after so long, if it surely has not run. */
-    private void giveUp(AcceptedMessage held, double waitMs) {
-        end(held, notice(held, waitMs));
-        event(() -> relay.confirming(openTurn(), held.number));
+    /**
+     * Ends a message that the policy does not end. If it certainly has not run, its client may submit it again after
+     * {@code waitMs}.
+     */
+    private void giveUp(AcceptedMessage accepted, double waitMs) {
+        endWithNotice(accepted, finalNotice(accepted, waitMs));
+        isolate(() -> policy.confirming(openTurn(), accepted.number));
     }
 
-    /** Time is up for a message that nobody has ended. A loop that was held up may have its end still before it. */
-    private void overdue(AcceptedMessage held) {
+    /**
+     * Handles a message that has not ended by its deadline. The check is queued behind the loop's pending tasks, since
+     * the message's end may be among them after the loop was blocked.
+     */
+    private void messageOverdue(AcceptedMessage accepted) {
         openTurn();
         loop.execute(() -> {
-            if (held.over) {
+            if (accepted.over) {
                 return;
             }
             if (!ownsMessages()) {
-                overdueInHandover(held);
+                messageOverdueDuringHandover(accepted);
                 return;
             }
-            events.add("overdue", "id", held.id, "class", held.messageClass, "told", held.told, "attempts",
-                    held.attempts.size(), "module", relay.open().contains(held.number));
-            giveUp(held, FAULT_RETRY_AFTER_MS);
+            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told", accepted.told, "attempts",
+                    accepted.attempts.size(), "module", policy.open().contains(accepted.number));
+            giveUp(accepted, FAULT_RETRY_AFTER_MS);
         });
     }
 
-    /** The new process ends it once it owns, which may be too late; two notices for one message do no harm. */
-    private void overdueInHandover(AcceptedMessage held) {
-        overdueInHandover.add(held);
-        events.add("overdue-in-handover", "id", held.id, "class", held.messageClass, "attempts", held.attempts.size());
-        held.owed = Optional.of(notice(held, FAULT_RETRY_AFTER_MS));
-        notices.tellOnce(held);
+    /**
+     * Sends a notice for a message whose deadline passes during a handover. The successor ends the message once it owns
+     * the journal, which may be too late; two notices for one message do no harm.
+     */
+    private void messageOverdueDuringHandover(AcceptedMessage accepted) {
+        overdueDuringHandover.add(accepted);
+        events.add("overdue-in-handover", "id", accepted.id, "class", accepted.messageClass, "attempts",
+                accepted.attempts.size());
+        accepted.owed = Optional.of(finalNotice(accepted, FAULT_RETRY_AFTER_MS));
+        notices.tellOnce(accepted);
     }
 
-    /** Hands back what surely has not run, with a time to come back; fails the rest. */
-    private static AcceptedMessage.Notice notice(AcceptedMessage held, double waitMs) {
-        boolean neverRan = held.attempts.stream().allMatch(a -> a.neverRan);
+    /** Returns a message that certainly has not run, with a retry delay for its client; reports any other as failed. */
+    private static AcceptedMessage.Notice finalNotice(AcceptedMessage accepted, double waitMs) {
+        boolean neverRan = accepted.attempts.stream().allMatch(attempt -> attempt.neverRan);
         return new AcceptedMessage.Notice(neverRan, waitMs);
     }
 
-    /** Whether what is open is this process's to end. */
+    /** Whether this process is the one that ends the open messages. */
     private boolean ownsMessages() {
-        return owner && !frozen;
+        return ownsJournal && !frozen;
     }
 
-    /** A list is known and the journal is read: this process can work. */
-    private void begin() {
+    /** Called once an endpoint list is known and the journal is read: replays the journal and accepts messages. */
+    private void becomeReady() {
         ready = true;
-        replay();
+        replayJournal();
     }
 
-    private DeliveryPolicy.Message message(AcceptedMessage held, int messageClass, double leftMs) {
-        double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new DeliveryPolicy.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
-                held.thread, left, held.destination);
+    /** Returns the policy's view of a message; the time left is at most the deadline of its class. */
+    private DeliveryPolicy.Message policyMessage(AcceptedMessage accepted, int messageClass, double leftMs) {
+        double timeLeftMs = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
+        return new DeliveryPolicy.Message(accepted.number, messageClass,
+                Math.max(0, config.tenants().indexOf(accepted.tenant)), accepted.thread, timeLeftMs,
+                accepted.destination);
     }
 
     // ---- the clock and turns ----
 
-    /** The module's time: one for all events of a turn, which ends when the loop has nothing more at hand. */
+    /**
+     * Returns the time of the current turn for the policy, and opens a turn if there is none. A turn comprises the
+     * events that are handled before the loop reaches the end-of-turn task queued here; they share one time, and at the
+     * end the policy decides once what to send.
+     */
     private double openTurn() {
         if (!turnOpen) {
             turnOpen = true;
-            clock = elapsedMs();
+            turnTimeMs = elapsedMs();
             loop.execute(this::endTurn);
         }
-        return clock;
+        return turnTimeMs;
     }
 
-    /** For questions that change nothing, so that no turn has to follow. */
+    /** The current time for queries that change nothing and so need no turn. */
     private double now() {
-        return turnOpen ? clock : elapsedMs();
+        return turnOpen ? turnTimeMs : elapsedMs();
     }
 
     private double elapsedMs() {
@@ -541,31 +585,31 @@
     }
 
     private void endTurn() {
-        boolean whole = frozen || FaultIsolation.run(() -> relay.endTurn(clock));
+        boolean completed = frozen || FaultIsolation.run(() -> policy.endTurn(turnTimeMs));
         turnOpen = false;
-        event(endpoints::flush);
-        if (!whole) {
-            // What it did not come to, among it the next wake, would wait for an event that may never happen.
-            loop.schedule(this::openTurn, FAULT_RETRY_MS, TimeUnit.MILLISECONDS);
+        isolate(endpoints::flush);
+        if (!completed) {
+            // Otherwise the work left over, including the next wake-up, would wait for an event that may never occur.
+            loop.schedule(this::openTurn, TURN_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** A fault in one message's handling must not take the others down with the process. */
-    private static void event(Runnable told) {
-        FaultIsolation.run(told);
+    /** Runs a task so that a fault in the handling of one message does not affect the others. */
+    private static void isolate(Runnable task) {
+        FaultIsolation.run(task);
     }
 
-    // ---- what the module asks ----
+    // ---- actions of the policy ----
 
     @Override
     public boolean mayCall() {
         if (listLease.isValid()) {
             return true;
         }
-        if (!turnAwaitsList) {
-            turnAwaitsList = true;
+        if (!turnAwaitsLease) {
+            turnAwaitsLease = true;
             listLease.whenValid(() -> {
-                turnAwaitsList = false;
+                turnAwaitsLease = false;
                 openTurn();
             });
         }
@@ -574,25 +618,27 @@
 
     @Override
     public void send(long message, long endpoint, double timeoutMs) {
-        AcceptedMessage held = open.find(message).orElseThrow();
-        int number = held.attempts.size();
+        AcceptedMessage accepted = openMessages.find(message).orElseThrow();
+        int number = accepted.attempts.size();
         AcceptedMessage.Attempt attempt = new AcceptedMessage.Attempt(registry.id(endpoint), journal.clock().nowMs());
         attempt.listGeneration = discovery.generation();
-        held.attempts.add(attempt);
-        boolean begun = FaultIsolation.run(
-                () -> calls.put(new Out(message, number), endpoints.call(held, number, endpoint, timeoutMs)));
-        if (!begun) {
-            // The module counts it as out until it has its end.
-            loop.execute(() -> attemptEnded(held, number, DeliveryPolicy.Outcome.NOT_SENT, false, false, 0, 0, false));
+        accepted.attempts.add(attempt);
+        boolean started = FaultIsolation.run(
+                () -> callsInFlight.put(new Out(message, number),
+                        endpoints.call(accepted, number, endpoint, timeoutMs)));
+        if (!started) {
+            // The policy counts the attempt as in flight until its end is reported.
+            loop.execute(() -> attemptEnded(accepted, number, DeliveryPolicy.Outcome.NOT_SENT, false, false, 0, 0,
+                    false));
         }
     }
 
     @Override
     public void cancel(long message, int attempt) {
-        Endpoints.Call call = calls.get(new Out(message, attempt));
+        Endpoints.Call call = callsInFlight.get(new Out(message, attempt));
         if (call != null) {
             endpoints.cancel(call);
-        } else if (inherited.isOut(new Out(message, attempt))) {
+        } else if (predecessorCalls.isOut(new Out(message, attempt))) {
             takeover.tell(HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
         }
     }
@@ -604,20 +650,21 @@
 
     @Override
     public boolean refuse(long message, double waitMs) {
-        end(open.find(message).orElseThrow(), new AcceptedMessage.Notice(true, waitMs));
+        endWithNotice(openMessages.find(message).orElseThrow(), new AcceptedMessage.Notice(true, waitMs));
         return false;
     }
 
     @Override
     public boolean fail(long message) {
-        end(open.find(message).orElseThrow(), new AcceptedMessage.Notice(false, 0));
+        endWithNotice(openMessages.find(message).orElseThrow(), new AcceptedMessage.Notice(false, 0));
         return false;
     }
 
     @Override
     public void wakeAt(double time) {
         long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
-        AfterPendingReads.in(loop, Math.max(0, nanos), TimeUnit.NANOSECONDS, () -> event(() -> relay.wake(openTurn())));
+        AfterPendingReads.in(loop, Math.max(0, nanos), TimeUnit.NANOSECONDS,
+                () -> isolate(() -> policy.wake(openTurn())));
     }
 
     @Override
@@ -625,24 +672,25 @@
         Log.line(text);
     }
 
-    private void end(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        if (!rules.mayEnd(held)) {
+    /** Ends a message with a notice to the platform, if the rules allow it. */
+    private void endWithNotice(AcceptedMessage accepted, AcceptedMessage.Notice notice) {
+        if (!rules.mayEnd(accepted)) {
             return;
         }
-        over(held, notice.bounced() ? Stats.End.REFUSED : Stats.End.FAILED);
-        events.add("notice-owed", "id", held.id, "class", held.messageClass, "bounced", notice.bounced(),
-                "attempts", held.attempts.size(), "left_ms", held.deadlineMs - journal.clock().nowMs());
-        journal.owed(held, notice);
-        notices.owe(held);
+        markEnded(accepted, notice.bounced() ? Stats.End.REFUSED : Stats.End.FAILED);
+        events.add("notice-owed", "id", accepted.id, "class", accepted.messageClass, "bounced", notice.bounced(),
+                "attempts", accepted.attempts.size(), "left_ms", accepted.deadlineMs - journal.clock().nowMs());
+        journal.owed(accepted, notice);
+        notices.owe(accepted);
     }
 
-    // ---- what the module is told ----
+    // ---- events for the policy ----
 
-    /** The endpoints' side. */
+    /** Callbacks of the endpoint connections. */
     private final class EndpointCallbacks implements Endpoints.Callbacks {
         @Override
         public boolean mayStart(Endpoints.Call call) {
-            return relay.mayStart(now(), call.held.number, call.attempt);
+            return policy.mayStart(now(), call.held.number, call.attempt);
         }
 
         @Override
@@ -654,7 +702,10 @@
             }
         }
 
-        /** Not before: an attempt whose connection was still coming up at a kill has surely not run. */
+        /**
+         * Journals the attempt just before its first byte, and not earlier: an attempt whose connection was still being
+         * established when the process was killed certainly has not run.
+         */
         @Override
         public boolean begins(Endpoints.Call call) {
             if (!rules.maySend(call.held, call.attempt)) {
@@ -663,11 +714,11 @@
             try {
                 journal.begins(call.held, call.attempt);
             } catch (IOException e) {
-                // Unrecorded it could run twice: it is not made.
-                Log.line("no attempt without the journal: " + e.getMessage());
+                // An attempt that is not recorded could be repeated after a restart, and so run twice.
+                Log.line("an attempt is not made, since the journal can't record it: " + e.getMessage());
                 return false;
             }
-            untried.called(call.held.number);
+            unattempted.called(call.held.number);
             if (call.attempt > 0) {
                 events.add("retry", "id", call.held.id, "attempt", call.attempt, "endpoint",
                         call.held.attempts.get(call.attempt).endpoint);
@@ -676,22 +727,24 @@
         }
 
         @Override
-        public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean gone, double waitMs,
-                boolean open) {
-            calls.remove(new Out(call.held.number, call.attempt));
-            double took = (System.nanoTime() - call.startedNanos) / 1e6;
+        public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded, double waitMs,
+                boolean callOpen) {
+            callsInFlight.remove(new Out(call.held.number, call.attempt));
+            double tookMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (outcome != DeliveryPolicy.Outcome.DELIVERED) {
-                logUndelivered(call, outcome, gone, waitMs, took);
+                logUndelivered(call, outcome, messageEnded, waitMs, tookMs);
             }
-            boolean confirm = call.report().wasPartlyLeft();
-            Runnable here = () -> attemptEnded(call.held, call.attempt, outcome, gone, confirm, waitMs, took, open);
+            boolean needsConfirmation = call.report().wasPartlyLeft();
+            Runnable localAction = () -> attemptEnded(call.held, call.attempt, outcome, messageEnded,
+                    needsConfirmation, waitMs, tookMs, callOpen);
             if (handover.leaving()) {
                 ObjectNode line = HandoverConnection.line("ended").put("message", call.held.number)
-                        .put("attempt", call.attempt).put("outcome", outcome.name()).put("gone", gone)
-                        .put("confirm", confirm).put("waitMs", waitMs).put("tookMs", took).put("open", open);
-                handover.tell(line, here);
+                        .put("attempt", call.attempt).put("outcome", outcome.name()).put("gone", messageEnded)
+                        .put("confirm", needsConfirmation).put("waitMs", waitMs).put("tookMs", tookMs)
+                        .put("open", callOpen);
+                handover.tell(line, localAction);
             } else {
-                here.run();
+                localAction.run();
             }
         }
 
@@ -699,22 +752,22 @@
         public void overAfterEnd(Endpoints.Call call, boolean delivered) {
             events.add("over-after-end", "id", call.held.id, "attempt", call.attempt, "endpoint",
                     call.held.attempts.get(call.attempt).endpoint, "delivered", delivered);
-            Runnable here = () -> Sender.this.overAfterEnd(call.held, delivered);
+            Runnable localAction = () -> Sender.this.endByLateAnswer(call.held, delivered);
             if (handover.leaving()) {
                 handover.tell(HandoverConnection.line("over").put("message", call.held.number)
-                        .put("delivered", delivered), here);
+                        .put("delivered", delivered), localAction);
             } else {
-                here.run();
+                localAction.run();
             }
         }
 
-        private void logUndelivered(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean gone, double waitMs,
-                double took) {
+        private void logUndelivered(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded,
+                double waitMs, double tookMs) {
             AttemptReport report = call.report();
             events.add("attempt-ended", "id", call.held.id, "attempt", call.attempt, "endpoint",
                     call.held.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
-                    "status", report.status(), "messages", report.messages(), "left", report.left(), "over", gone,
-                    "wait_ms", Math.round(waitMs), "took_ms", Math.round(took), "list",
+                    "status", report.status(), "messages", report.messages(), "left", report.left(), "over",
+                    messageEnded, "wait_ms", Math.round(waitMs), "took_ms", Math.round(tookMs), "list",
                     call.held.attempts.get(call.attempt).listGeneration);
         }
 
@@ -728,11 +781,12 @@
 
         @Override
         public void waitTold(long endpoint, double waitMs) {
-            Runnable here = () -> event(() -> relay.waitTold(openTurn(), endpoint, waitMs));
+            Runnable localAction = () -> isolate(() -> policy.waitTold(openTurn(), endpoint, waitMs));
             if (handover.leaving()) {
-                handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs), here);
+                handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
+                        localAction);
             } else {
-                here.run();
+                localAction.run();
             }
         }
 
@@ -743,122 +797,125 @@
 
         @Override
         public void closed(Endpoints.Call call) {
-            Runnable here = () -> event(() -> relay.callClosed(openTurn(), call.held.number));
+            Runnable localAction = () -> isolate(() -> policy.callClosed(openTurn(), call.held.number));
             if (handover.leaving()) {
-                handover.tell(HandoverConnection.line("closed").put("message", call.held.number), here);
+                handover.tell(HandoverConnection.line("closed").put("message", call.held.number), localAction);
             } else {
-                here.run();
+                localAction.run();
             }
         }
     }
 
-    private void attemptEnded(AcceptedMessage held, int attempt, DeliveryPolicy.Outcome outcome, boolean gone,
-            boolean confirm, double waitMs, double took, boolean open) {
-        if (gone) {
-            overByAnswer(held, FinishedMessage.Result.FAILED);
-        } else if (outcome == DeliveryPolicy.Outcome.DELIVERED && confirm) {
-            confirm(held);
+    private void attemptEnded(AcceptedMessage accepted, int attempt, DeliveryPolicy.Outcome outcome,
+            boolean messageEnded, boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
+        if (messageEnded) {
+            endByAnswer(accepted, FinishedMessage.Result.FAILED);
+        } else if (outcome == DeliveryPolicy.Outcome.DELIVERED && needsConfirmation) {
+            confirmDelivery(accepted);
         } else if (outcome == DeliveryPolicy.Outcome.DELIVERED) {
-            overByAnswer(held, FinishedMessage.Result.DELIVERED);
-        } else if (!held.over && !outcome.mayHaveRun()) {
-            journal.neverRan(held, attempt);
+            endByAnswer(accepted, FinishedMessage.Result.DELIVERED);
+        } else if (!accepted.over && !outcome.mayHaveRun()) {
+            journal.neverRan(accepted, attempt);
         }
-        boolean finished = held.over;
-        event(() -> relay.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(held.number, attempt, outcome, took,
-                finished, waitMs, open)));
+        boolean finished = accepted.over;
+        isolate(() -> policy.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(accepted.number, attempt, outcome,
+                tookMs, finished, waitMs, callOpen)));
     }
 
-    /** An answer tells that a message is over: nothing more is owed for it, and nothing may be sent. */
-    private void overByAnswer(AcceptedMessage held, FinishedMessage.Result result) {
-        if (!held.over) {
-            over(held, result == FinishedMessage.Result.DELIVERED ? Stats.End.SERVED : Stats.End.FAILED);
-            journal.ended(held, result);
+    /** Ends a message by an endpoint's answer: no notice is due for it, and nothing may be sent for it any more. */
+    private void endByAnswer(AcceptedMessage accepted, FinishedMessage.Result result) {
+        if (!accepted.over) {
+            markEnded(accepted, result == FinishedMessage.Result.DELIVERED ? Stats.End.SERVED : Stats.End.FAILED);
+            journal.ended(accepted, result);
         }
     }
 
     /**
-     * The answer to a call that a message had left tells that a message is delivered. The platform does not count each
-     * such answer, so it also gets a notice, which does no harm where it does.
+     * Ends a message as delivered by the answer to a call that a message had left before. The platform doesn't count
+     * every such answer, so a notice is sent too; it does no harm where the platform counts the answer.
      */
-    private void confirm(AcceptedMessage held) {
-        if (!held.over) {
-            over(held, Stats.End.SERVED);
-            events.add("confirming", "id", held.id, "attempts", held.attempts.size());
-            journal.confirming(held);
-            notices.owe(held);
-            event(() -> relay.confirming(openTurn(), held.number));
+    private void confirmDelivery(AcceptedMessage accepted) {
+        if (!accepted.over) {
+            markEnded(accepted, Stats.End.SERVED);
+            events.add("confirming", "id", accepted.id, "attempts", accepted.attempts.size());
+            journal.confirming(accepted);
+            notices.owe(accepted);
+            isolate(() -> policy.confirming(openTurn(), accepted.number));
         }
     }
 
-    /** An answer tells that a message is over whose attempt had ended otherwise before: it had left its call. */
-    private void overAfterEnd(AcceptedMessage held, boolean delivered) {
+    /** Ends a message by an answer that came after its attempt had left the call and ended with another outcome. */
+    private void endByLateAnswer(AcceptedMessage accepted, boolean delivered) {
         if (delivered) {
-            confirm(held);
-        } else if (!held.over) {
-            overByAnswer(held, FinishedMessage.Result.FAILED);
-            event(() -> relay.withdrawn(openTurn(), held.number));
+            confirmDelivery(accepted);
+        } else if (!accepted.over) {
+            endByAnswer(accepted, FinishedMessage.Result.FAILED);
+            isolate(() -> policy.withdrawn(openTurn(), accepted.number));
         }
     }
 
-    /** The one place where the end of what was taken is counted. */
-    private void over(AcceptedMessage held, Stats.End end) {
-        stats.ended(held.messageClass, end);
-        over(held);
+    /** Marks an accepted message as ended; the only place where such ends are counted. */
+    private void markEnded(AcceptedMessage accepted, Stats.End end) {
+        stats.ended(accepted.messageClass, end);
+        markEnded(accepted);
     }
 
-    private void over(AcceptedMessage held) {
-        held.over = true;
-        untried.ended(held.number);
-        open.remove(held);
-        watchdog.forget(held);
+    private void markEnded(AcceptedMessage accepted) {
+        accepted.over = true;
+        unattempted.ended(accepted.number);
+        openMessages.remove(accepted);
+        watchdog.forget(accepted);
     }
 
-    /** The platform has answered the notice: only now is the message over. */
-    private void heard(AcceptedMessage held) {
-        events.add("notice-heard", "id", held.id);
-        rules.heard(held);
-        journal.ended(held);
-        event(() -> relay.heard(openTurn(), held.number));
+    /** Handles the platform's answer to a notice: only now the message needs nothing more. */
+    private void noticeAcknowledged(AcceptedMessage accepted) {
+        events.add("notice-heard", "id", accepted.id);
+        rules.heard(accepted);
+        journal.ended(accepted);
+        isolate(() -> policy.heard(openTurn(), accepted.number));
     }
 
-    private void listed(boolean whole, List<EndpointList.Entry> entries) {
-        if (!owner || handover.left()) {
+    /**
+     * Passes a new endpoint list, or its changed entries, to the registry, the connections, the journal and the policy.
+     */
+    private void endpointListChanged(boolean complete, List<EndpointList.Entry> entries) {
+        if (!ownsJournal || handover.left()) {
             return;
         }
-        List<DeliveryPolicy.Endpoint> list = new ArrayList<>();
+        List<DeliveryPolicy.Endpoint> changed = new ArrayList<>();
         Set<Long> unlisted = new HashSet<>();
-        if (whole) {
+        if (complete) {
             unlisted.addAll(registry.listed());
             registry.clearList();
         }
-        for (EndpointList.Entry e : entries) {
-            long number = registry.number(e.id());
-            registry.list(number, e.destination(), e.gone());
+        for (EndpointList.Entry entry : entries) {
+            long number = registry.number(entry.id());
+            registry.list(number, entry.destination(), entry.gone());
             unlisted.remove(number);
-            journal.withdrawn(e.id(), !e.serving());
-            int kind = Math.max(0, config.kinds().indexOf(e.kind()));
+            journal.withdrawn(entry.id(), !entry.serving());
+            int kind = Math.max(0, config.kinds().indexOf(entry.kind()));
             List<DeliveryPolicy.Kind> kinds = config.settings().kinds();
-            if (e.address() == null) {
+            if (entry.address() == null) {
                 endpoints.closeIdle(number);
             } else {
-                endpoints.at(number, e.address(), e.serving(), kind,
+                endpoints.at(number, entry.address(), entry.serving(), kind,
                         kinds.get(Math.min(kind, kinds.size() - 1)).batch());
             }
-            list.add(new DeliveryPolicy.Endpoint(number, e.destination(), kind,
-                    Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight()));
+            changed.add(new DeliveryPolicy.Endpoint(number, entry.destination(), kind,
+                    Math.max(0, config.zones().indexOf(entry.zone())), entry.serving(), entry.weight()));
         }
         unlisted.forEach(number -> journal.withdrawn(registry.id(number), true));
-        event(() -> relay.endpoints(openTurn(), whole, list));
+        isolate(() -> policy.endpoints(openTurn(), complete, changed));
         if (!ready) {
-            begin();
+            becomeReady();
         }
     }
 
-    /** The clients' side. */
-    private final class Clients implements SubmissionServer.SubmissionHandler {
+    /** Callbacks of the submission server, for clients' requests. */
+    private final class ClientCallbacks implements SubmissionServer.SubmissionHandler {
         @Override
         public boolean ready() {
-            return ready && (!closing || handover.left());
+            return ready && (!shuttingDown || handover.left());
         }
 
         @Override
@@ -893,165 +950,175 @@
         }
 
         @Override
-        public void take(SubmissionServer.Submission s, Consumer<SubmissionServer.Verdict> then) {
+        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
             if (handover.leaving()) {
                 ObjectNode line = HandoverConnection.line("submit");
-                line.set("submission", HandoverConnection.JSON.valueToTree(s));
-                handover.ask(line, reply -> then.accept(verdict(reply)), () -> take(s, then));
+                line.set("submission", HandoverConnection.JSON.valueToTree(submission));
+                handover.ask(line, reply -> callback.accept(verdict(reply)), () -> take(submission, callback));
                 return;
             }
-            then.accept(Sender.this.take(s));
+            callback.accept(Sender.this.admit(submission));
         }
 
-        /** What the new process says; if it is gone, nobody has the message. */
+        /** Returns the successor's verdict; a successor that has ended has not accepted the message. */
         private SubmissionServer.Verdict verdict(JsonNode reply) {
             if (reply.path("failed").asBoolean()) {
                 return new SubmissionServer.Verdict(SubmissionServer.Decision.FAILED, reply.path("reason").asText(), 0,
-                        heard -> { });
+                        acknowledged -> { });
             }
             if (!reply.path("taken").asBoolean()) {
                 return SubmissionServer.Verdict.refused(reply.path("reason").asText("not now"),
                         reply.path("waitMs").asDouble());
             }
-            return SubmissionServer.Verdict.taken(heard -> handover.tell(HandoverConnection.line("answered")
-                    .put("message", reply.path("message").asLong()).put("heard", heard), () -> { }));
+            return SubmissionServer.Verdict.taken(acknowledged -> handover.tell(HandoverConnection.line("answered")
+                    .put("message", reply.path("message").asLong()).put("heard", acknowledged), () -> { }));
         }
     }
 
-    private SubmissionServer.Verdict take(SubmissionServer.Submission s) {
+    /** Accepts or rejects a submission; one whose id is known already gets the verdict of that message. */
+    private SubmissionServer.Verdict admit(SubmissionServer.Submission submission) {
         if (!ready) {
-            return refused(s, "no room", 0);
+            return rejection(submission, "no room", 0);
         }
-        Optional<AcceptedMessage> known = open.find(s.id());
-        if (known.isPresent()) {
-            return taken(known.get());
+        Optional<AcceptedMessage> open = openMessages.find(submission.id());
+        if (open.isPresent()) {
+            return acceptance(open.get());
         }
-        Optional<FinishedMessage> finished = journal.finished(s.id());
-        return finished.map(SubmissionServer.Verdict::finished).orElseGet(() -> takeNew(s));
+        Optional<FinishedMessage> finished = journal.finished(submission.id());
+        return finished.map(SubmissionServer.Verdict::finished).orElseGet(() -> admitNew(submission));
     }
 
-    private SubmissionServer.Verdict takeNew(SubmissionServer.Submission s) {
-        if (!registry.knowsDestination(s.destination())) {
-            // Such a message could only run out of time; the list may be late, so it may be handed in again.
-            return refused(s, "no endpoint of this dest is listed", 0);
+    private SubmissionServer.Verdict admitNew(SubmissionServer.Submission submission) {
+        if (!registry.knowsDestination(submission.destination())) {
+            // Such a message could only time out. The list may be late, so the client may submit it again.
+            return rejection(submission, "no endpoint of this dest is listed", 0);
         }
-        if (open.size() >= config.maxOpen()) {
-            return refused(s, "no room", 0);
+        if (openMessages.size() >= config.maxOpen()) {
+            return rejection(submission, "no room", 0);
         }
-        int messageClass = config.classes().indexOf(s.messageClass());
-        long budgetMs = Math.min(s.budgetMs(), (long) config.settings().classes().get(messageClass).deadlineMs());
-        AcceptedMessage held =
-                new AcceptedMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(), s.thread(),
-                        s.destination(), journal.clock().nowMs() + budgetMs, s.body());
+        int messageClass = config.classes().indexOf(submission.messageClass());
+        long budgetMs = Math.min(submission.budgetMs(),
+                (long) config.settings().classes().get(messageClass).deadlineMs());
+        AcceptedMessage accepted =
+                new AcceptedMessage(journal.nextNumber(), submission.id(), submission.messageClass(),
+                        submission.tenant(), submission.key(), submission.thread(), submission.destination(),
+                        journal.clock().nowMs() + budgetMs, submission.body());
         try {
-            OptionalDouble away = relay.turnsAway(openTurn(), message(held, messageClass, budgetMs));
-            if (away.isPresent()) {
-                return refused(s, "no time for it here", away.getAsDouble());
+            OptionalDouble rejectionDelayMs =
+                    policy.turnsAway(openTurn(), policyMessage(accepted, messageClass, budgetMs));
+            if (rejectionDelayMs.isPresent()) {
+                return rejection(submission, "no time for it here", rejectionDelayMs.getAsDouble());
             }
         } catch (RuntimeException e) {
-            // Its client was read, and is owed an answer.
+            // The request was read, so its client must get an answer.
             FaultIsolation.report(e);
-            return refused(s, "not now", FAULT_RETRY_AFTER_MS);
+            return rejection(submission, "not now", FAULT_RETRY_AFTER_MS);
         }
         try {
-            journal.taken(held);
+            journal.taken(accepted);
         } catch (IOException e) {
-            events.add("not-journalled", "id", s.id(), "cause", String.valueOf(e.getMessage()));
-            return refused(s, "no room", 0);
+            events.add("not-journalled", "id", submission.id(), "cause", String.valueOf(e.getMessage()));
+            return rejection(submission, "no room", 0);
         }
-        addOpen(held);
-        return taken(held);
+        addOpen(accepted);
+        return acceptance(accepted);
     }
 
-    private SubmissionServer.Verdict refused(SubmissionServer.Submission s, String reason, double waitMs) {
-        stats.ended(s.messageClass(), Stats.End.REFUSED);
-        events.add("refused", "id", s.id(), "class", s.messageClass(), "dest", s.destination(), "reason", reason,
-                "wait_ms", Math.round(waitMs), "open", open.size());
+    private SubmissionServer.Verdict rejection(SubmissionServer.Submission submission, String reason, double waitMs) {
+        stats.ended(submission.messageClass(), Stats.End.REFUSED);
+        events.add("refused", "id", submission.id(), "class", submission.messageClass(), "dest",
+                submission.destination(), "reason", reason, "wait_ms", Math.round(waitMs), "open",
+                openMessages.size());
         return SubmissionServer.Verdict.refused(reason, waitMs);
     }
 
-    /** Each request with its id gets an answer of its own; as long as one may be heard, the message is kept. */
-    private SubmissionServer.Verdict taken(AcceptedMessage held) {
-        held.answers();
+    /**
+     * Each request with the message's id gets its own answer. The message is kept as long as one of these answers may
+     * still be acknowledged.
+     */
+    private SubmissionServer.Verdict acceptance(AcceptedMessage accepted) {
+        accepted.answers();
         return SubmissionServer.Verdict.taken(written -> {
-            AcceptedMessage.Acknowledgement hearing = held.answered(written);
-            if (hearing != AcceptedMessage.Acknowledgement.OPEN) {
-                answered(held, hearing == AcceptedMessage.Acknowledgement.HEARD);
+            AcceptedMessage.Acknowledgement acknowledgement = accepted.answered(written);
+            if (acknowledgement != AcceptedMessage.Acknowledgement.OPEN) {
+                submissionAnswered(accepted, acknowledgement == AcceptedMessage.Acknowledgement.HEARD);
             }
         });
     }
 
-    /** The client has heard that its message was taken, or never will. */
-    private void answered(AcceptedMessage held, boolean heard) {
+    /** The client has received the answer that its message was accepted ({@code acknowledged}), or never will. */
+    private void submissionAnswered(AcceptedMessage accepted, boolean acknowledged) {
         if (handover.leaving()) {
-            handover.tell(HandoverConnection.line("answered").put("message", held.number).put("heard", heard),
-                    () -> answered(held, heard));
+            handover.tell(
+                    HandoverConnection.line("answered").put("message", accepted.number).put("heard", acknowledged),
+                    () -> submissionAnswered(accepted, acknowledged));
             return;
         }
-        if (held.told || held.over) {
+        if (accepted.told || accepted.over) {
             return;
         }
-        held.told = heard;
-        if (!heard) {
-            // A client that never heard of its being taken is owed nothing, and will come again.
-            events.add("taken-unheard", "id", held.id);
-            over(held);
-            journal.ended(held);
+        accepted.told = acknowledged;
+        if (!acknowledged) {
+            // A client that never learned of the acceptance expects no delivery, and will submit the message again.
+            events.add("taken-unheard", "id", accepted.id);
+            markEnded(accepted);
+            journal.ended(accepted);
             return;
         }
-        int messageClass = config.classes().indexOf(held.messageClass);
-        double left = held.deadlineMs - journal.clock().nowMs();
-        event(() -> relay.message(openTurn(), message(held, messageClass, left)));
+        int messageClass = config.classes().indexOf(accepted.messageClass);
+        double leftMs = accepted.deadlineMs - journal.clock().nowMs();
+        isolate(() -> policy.message(openTurn(), policyMessage(accepted, messageClass, leftMs)));
     }
 
-    /** The operators' side. */
-    private final class Orders implements OperatorServer.OperatorCommands {
+    /** Carries out operators' commands. */
+    private final class OperatorCallbacks implements OperatorServer.OperatorCommands {
         @Override
         public boolean serves() {
-            return ready && listening && !closing;
+            return ready && listening && !shuttingDown;
         }
 
         @Override
         public String figures() {
             Set<Long> listed = registry.listed();
-            int excluded = (int) listed.stream().filter(relay::avoids).count();
-            return stats.text(new Stats.Gauges(open.size(), listed.size(), excluded));
+            int excluded = (int) listed.stream().filter(policy::avoids).count();
+            return stats.text(new Stats.Gauges(openMessages.size(), listed.size(), excluded));
         }
 
         @Override
-        public void maintain(String endpoint, boolean out, Consumer<OperatorServer.Answer> then) {
-            if (!owner || handover.leaving()) {
-                pass(HandoverConnection.line("maintain").put("endpoint", endpoint).put("on", out), then,
-                        () -> maintain(endpoint, out, then));
+        public void maintain(String endpoint, boolean inMaintenance, Consumer<OperatorServer.Answer> callback) {
+            if (!ownsJournal || handover.leaving()) {
+                forward(HandoverConnection.line("maintain").put("endpoint", endpoint).put("on", inMaintenance),
+                        callback, () -> maintain(endpoint, inMaintenance, callback));
                 return;
             }
             OptionalLong number = registry.knownNumber(endpoint);
-            boolean outNow = journal.maintained().contains(endpoint);
-            if (!outNow && !(number.isPresent() && registry.isListed(number.getAsLong()))) {
-                then.accept(OperatorServer.Answer.no(HttpResponseStatus.NOT_FOUND, "no endpoint " + endpoint));
+            boolean wasInMaintenance = journal.maintained().contains(endpoint);
+            if (!wasInMaintenance && !(number.isPresent() && registry.isListed(number.getAsLong()))) {
+                callback.accept(OperatorServer.Answer.no(HttpResponseStatus.NOT_FOUND, "no endpoint " + endpoint));
                 return;
             }
-            order(then, "endpoint " + endpoint + (out ? " is left out" : " is put back") + " by the operators",
+            execute(callback,
+                    "endpoint " + endpoint + (inMaintenance ? " is left out" : " is put back") + " by the operators",
                     () -> {
-                        if (outNow != out) {
-                            journal.maintained(endpoint, out);
-                            relay.maintenance(openTurn(), number.getAsLong(), out);
+                        if (wasInMaintenance != inMaintenance) {
+                            journal.maintained(endpoint, inMaintenance);
+                            policy.maintenance(openTurn(), number.getAsLong(), inMaintenance);
                         }
                     });
         }
 
         @Override
-        public void drain(boolean on, Consumer<OperatorServer.Answer> then) {
-            if (!owner || handover.leaving()) {
-                pass(HandoverConnection.line("drain").put("on", on), answer -> {
+        public void drain(boolean on, Consumer<OperatorServer.Answer> callback) {
+            if (!ownsJournal || handover.leaving()) {
+                forward(HandoverConnection.line("drain").put("on", on), answer -> {
                     if (answer.status().code() == 200) {
                         intake.drain(on);
                     }
-                    then.accept(answer);
-                }, () -> drain(on, then));
+                    callback.accept(answer);
+                }, () -> drain(on, callback));
                 return;
             }
-            order(then, on ? "clients are sent away" : "clients are taken again", () -> {
+            execute(callback, on ? "clients are sent away" : "clients are taken again", () -> {
                 if (journal.drained() != on) {
                     journal.drained(on);
                     intake.drain(on);
@@ -1059,78 +1126,81 @@
             });
         }
 
-        /** The process that owns the journal carries it out: the new one, or none yet. */
-        private void pass(ObjectNode line, Consumer<OperatorServer.Answer> then, Runnable here) {
-            if (!owner) {
-                then.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
+        /** Forwards a command to the successor, which owns the journal; rejects it if this process never owned it. */
+        private void forward(ObjectNode line, Consumer<OperatorServer.Answer> callback, Runnable localAction) {
+            if (!ownsJournal) {
+                callback.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
                 return;
             }
-            handover.ask(line, reply -> then.accept(new OperatorServer.Answer(
+            handover.ask(line, reply -> callback.accept(new OperatorServer.Answer(
                     HttpResponseStatus.valueOf(reply.path("status").asInt(503)),
-                    reply.path("text").asText("the new process is gone\n"))), here);
+                    reply.path("text").asText("the new process is gone\n"))), localAction);
         }
 
-        private void order(Consumer<OperatorServer.Answer> then, String done, Order order) {
+        /** Executes a command, logs it and reports the result to the operator. */
+        private void execute(Consumer<OperatorServer.Answer> callback, String logText, JournalledCommand command) {
             try {
-                order.carryOut();
-                Log.line(done);
-                then.accept(OperatorServer.Answer.YES);
+                command.execute();
+                Log.line(logText);
+                callback.accept(OperatorServer.Answer.YES);
             } catch (IOException e) {
                 Log.line("an order can't be journalled, so it is not taken: " + e.getMessage());
-                then.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE,
+                callback.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "the journal has no room"));
             }
         }
     }
 
-    private interface Order {
-        void carryOut() throws IOException;
+    /** An operator's command that is recorded in the journal. */
+    private interface JournalledCommand {
+        void execute() throws IOException;
     }
 
-    // ---- an upgrade ----
+    // ---- upgrades ----
 
-    /** The old side: this process hands over. */
+    /** The handover side of an upgrade: this process hands over to its successor. */
     private final class HandoverCallbacks implements Handover.Callbacks {
         @Override
         public boolean mayLeave() {
-            // What the disk did not take would not be the new process's.
-            return ready && listening && !closing && !takeover.hasPartner() && journal.catchUp();
+            // Journal records that are not on disk would not reach the successor.
+            return ready && listening && !shuttingDown && !takeover.hasPartner() && journal.catchUp();
         }
 
         @Override
-        public void freeze(Consumer<Optional<ObjectNode>> then) {
+        public void freeze(Consumer<Optional<ObjectNode>> callback) {
             logHandover("FREEZING");
             frozen = true;
-            // What is not written yet is the new process's to send; these ends come before what follows.
-            new ArrayList<>(calls.values()).forEach(call -> event(() -> endpoints.callOffUnsent(call)));
+            // Calls not written yet are the successor's to send. Their ends are queued ahead of the task below.
+            new ArrayList<>(callsInFlight.values()).forEach(call -> isolate(() -> endpoints.callOffUnsent(call)));
             loop.execute(() -> {
-                event(() -> relay.handingOver(openTurn(), HANDOVER_PAUSE_MS));
+                isolate(() -> policy.handingOver(openTurn(), HANDOVER_PAUSE_MS));
                 notices.pause();
-                Optional<ObjectNode> state = state();
+                Optional<ObjectNode> state = handoverState();
                 if (state.isPresent()) {
                     logHandover("LEAVING");
                     state.get().put("unwritten", journal.pause());
                     lock.close();
                     lock = null;
                 } else {
-                    goOn();
+                    continueOwning();
                 }
-                then.accept(state);
+                callback.accept(state);
             });
         }
 
-        /** All that the new process needs beside the journal; none where a fault has made that impossible. */
-        private Optional<ObjectNode> state() {
+        /** Returns all that the successor needs besides the journal, or nothing if a fault prevents collecting it. */
+        private Optional<ObjectNode> handoverState() {
             try {
                 ObjectNode state = HandoverConnection.line("state").put("at", journal.clock().nowMs())
                         .put("numbers", journal.numbers());
                 state.set("classes", HandoverConnection.JSON.valueToTree(config.classes()));
-                ArrayNode names = state.putArray("endpoints");
-                registry.ids().forEach(names::add);
-                ArrayNode unheard = state.putArray("unheard");
-                open.all().stream().filter(held -> !held.told).forEach(held -> unheard.add(held.number));
+                ArrayNode endpointIds = state.putArray("endpoints");
+                registry.ids().forEach(endpointIds::add);
+                ArrayNode unacknowledged = state.putArray("unheard");
+                openMessages.all().stream().filter(accepted -> !accepted.told)
+                        .forEach(accepted -> unacknowledged.add(accepted.number));
                 state.set("list", discovery.list());
-                state.set("memory", HandoverConnection.JSON.valueToTree(relay.memory(openTurn())));
+                state.set("memory", HandoverConnection.JSON.valueToTree(policy.memory(openTurn())));
                 return Optional.of(state);
             } catch (RuntimeException e) {
                 FaultIsolation.report(e);
@@ -1144,17 +1214,18 @@
                 lock = StateLock.take(config.state()).orElseThrow(() -> new IOException("another process owns"));
             }
             journal.resume();
-            goOn();
+            continueOwning();
         }
 
-        private void goOn() {
+        /** Resumes normal operation after a handover that did not take place. */
+        private void continueOwning() {
             frozen = false;
             logHandover("OWNING");
-            catchUpLater();
+            scheduleJournalRetry();
             notices.resume();
-            overdueInHandover.forEach(watchdog::watch);
-            overdueInHandover.clear();
-            // What waits is decided with the next turn.
+            overdueDuringHandover.forEach(watchdog::watch);
+            overdueDuringHandover.clear();
+            // Pending messages are decided on at the end of the new turn.
             openTurn();
         }
 
@@ -1162,12 +1233,12 @@
         public void left() {
             logHandover("LEFT");
             watchdog.suspend();
-            open.clear();
+            openMessages.clear();
             discovery.stop();
             listLease.stop();
             intake.leave();
             endpoints.keepNone();
-            Log.line("the new version owns all; " + calls.size() + " calls are still out here");
+            Log.line("the new version owns all; " + callsInFlight.size() + " calls are still out here");
         }
 
         @Override
@@ -1175,52 +1246,55 @@
             Sender.this.cancel(message, attempt);
         }
 
-        /** What this process has at each step: the phases are those of {@link Handover}. */
+        /** Logs what this process holds at each step; the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
-            events.add("handover", "phase", phase, "open", open.size(), "module", relay.open().size(), "calls",
-                    calls.size(), "notices", notices.owed(), "closing", closing);
+            events.add("handover", "phase", phase, "open", openMessages.size(), "module", policy.open().size(), "calls",
+                    callsInFlight.size(), "notices", notices.owed(), "closing", shuttingDown);
         }
     }
 
-    /** The new side: this process takes over, or just starts. */
+    /** The takeover side of an upgrade: this process takes over from its predecessor, or starts without one. */
     private final class TakeoverCallbacks implements Takeover.Callbacks {
-        /** Taken for a client of the old process, which it has not answered yet. */
-        private final Map<Long, Deque<SubmissionServer.Verdict>> answering = new HashMap<>();
+        /** Verdicts on submissions passed on by the predecessor, which has not yet answered their clients. */
+        private final Map<Long, Deque<SubmissionServer.Verdict>> unansweredSubmissions = new HashMap<>();
 
         @Override
         public boolean prepared() {
-            return discovery.answered() || System.nanoTime() - startNanos >= PREPARE_NANOS;
+            return discovery.answered() || System.nanoTime() - startNanos >= PREPARE_LIMIT_NANOS;
         }
 
         @Override
-        public void listenBeside(Runnable then, Runnable failed) {
-            listen(then, cause -> {
-                if (isTakenByOldProcess(cause)) {
+        public void listenBeside(Runnable onListening, Runnable onFailure) {
+            listen(onListening, cause -> {
+                if (isAddressHeldByPredecessor(cause)) {
                     Log.line("can't listen beside the old process, and does so once that one has left");
-                    then.run();
+                    onListening.run();
                 } else {
-                    failed.run();
+                    onFailure.run();
                 }
             });
         }
 
-        /** One of the two can't share its address: the JDK finds out once, at its start, whether sockets can, by making one. */
-        private static boolean isTakenByOldProcess(Throwable cause) {
+        /**
+         * Whether the predecessor keeps the address because one of the two processes can't share it. The JDK determines
+         * once at its start whether sockets can share an address, by creating a socket, and that may fail.
+         */
+        private static boolean isAddressHeldByPredecessor(Throwable cause) {
             return cause instanceof BindException && String.valueOf(cause.getMessage()).contains(ADDRESS_IN_USE);
         }
 
-        private void listen(Runnable then, Consumer<Throwable> failed) {
+        private void listen(Runnable onListening, Consumer<Throwable> onFailure) {
             if (listening) {
-                then.run();
+                onListening.run();
                 return;
             }
             Connects.whenDone(loop, intake.listen(config.listen()), bound -> {
                 if (bound.isSuccess()) {
                     listening = true;
-                    then.run();
+                    onListening.run();
                 } else {
                     Log.line("can't listen: " + bound.cause().getMessage());
-                    failed.accept(bound.cause());
+                    onFailure.accept(bound.cause());
                 }
             });
         }
@@ -1234,16 +1308,17 @@
         }
 
         @Override
-        public void own(StateLock token, Optional<JsonNode> state) throws IOException {
-            Sender.this.own(token, state);
+        public void own(StateLock acquiredLock, Optional<JsonNode> state) throws IOException {
+            Sender.this.own(acquiredLock, state);
             listenAsOwner();
         }
 
+        /** Listens for clients, and retries as long as {@link StartRetry} allows. */
         private void listenAsOwner() {
-            listen(() -> serving.complete(intake.address()), cause -> {
+            listen(() -> boundAddress.complete(intake.address()), cause -> {
                 IOException failure = new IOException("can't listen at " + Endpoints.hostPort(config.listen()), cause);
                 if (startRetry.mayRetry("listening", failure)) {
-                    loop.schedule(this::listenAsOwner, LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+                    loop.schedule(this::listenAsOwner, LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
                 } else {
                     failed(failure);
                 }
@@ -1251,14 +1326,14 @@
         }
 
         @Override
-        public void failed(Throwable why) {
-            giveUpOwnership();
-            serving.completeExceptionally(why);
+        public void failed(Throwable cause) {
+            releaseOwnership();
+            boundAddress.completeExceptionally(cause);
         }
 
-        /** What is half begun here is left to whoever owns next; nothing is taken on, written or sent any more. */
-        private void giveUpOwnership() {
-            owner = false;
+        /** Leaves unfinished work to the next owner: this process accepts, journals and sends nothing any more. */
+        private void releaseOwnership() {
+            ownsJournal = false;
             ready = false;
             frozen = true;
             notices.pause();
@@ -1273,146 +1348,155 @@
 
         @Override
         public void reported(JsonNode line) {
-            event(() -> report(line));
+            isolate(() -> handleReport(line));
         }
 
-        private void report(JsonNode line) {
+        /** Handles a line in which the predecessor reports an event or passes on a request. */
+        private void handleReport(JsonNode line) {
             long message = line.path("message").asLong();
             switch (line.path("do").asText()) {
-                case "ended" -> ended(new Out(message, line.path("attempt").asInt()),
+                case "ended" -> predecessorAttemptEnded(new Out(message, line.path("attempt").asInt()),
                         DeliveryPolicy.Outcome.valueOf(line.path("outcome").asText()), line.path("gone").asBoolean(),
                         line.path("confirm").asBoolean(),
                         line.path("waitMs").asDouble(), line.path("tookMs").asDouble(),
                         line.path("open").asBoolean());
-                case "wait" -> event(() -> relay.waitTold(openTurn(), line.path("endpoint").asLong(),
+                case "wait" -> isolate(() -> policy.waitTold(openTurn(), line.path("endpoint").asLong(),
                         line.path("waitMs").asDouble()));
-                case "over" -> inherited.held(message).ifPresent(
-                        held -> overAfterEnd(held, line.path("delivered").asBoolean()));
-                case "closed" -> closed(message);
-                case "answered" -> answered(message, line.path("heard").asBoolean());
-                case "submit" -> submit(line);
-                case "maintain" -> new Orders().maintain(line.path("endpoint").asText(), line.path("on").asBoolean(),
-                        answer -> reply(line, answer));
-                case "drain" -> new Orders().drain(line.path("on").asBoolean(), answer -> reply(line, answer));
-                default -> Log.line("the old process reports what this one does not know: " + line.path("do"));
+                case "over" -> predecessorCalls.held(message).ifPresent(
+                        accepted -> endByLateAnswer(accepted, line.path("delivered").asBoolean()));
+                case "closed" -> predecessorCallClosed(message);
+                case "answered" -> submissionAnswered(message, line.path("heard").asBoolean());
+                case "submit" -> handleSubmission(line);
+                case "maintain" -> new OperatorCallbacks().maintain(line.path("endpoint").asText(),
+                        line.path("on").asBoolean(), answer -> replyTo(line, answer));
+                case "drain" -> new OperatorCallbacks().drain(line.path("on").asBoolean(),
+                        answer -> replyTo(line, answer));
+                default -> Log.line("the predecessor sent a line of unknown kind: " + line.path("do"));
             }
         }
 
-        private void ended(Out attempt, DeliveryPolicy.Outcome outcome, boolean gone, boolean confirm, double waitMs,
-                double took, boolean open) {
-            if (!inherited.ended(attempt, open)) {
+        private void predecessorAttemptEnded(Out attempt, DeliveryPolicy.Outcome outcome, boolean messageEnded,
+                boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
+            if (!predecessorCalls.ended(attempt, callOpen)) {
                 return;
             }
-            Optional<AcceptedMessage> held = inherited.held(attempt.message());
-            if (held.isPresent()) {
-                attemptEnded(held.get(), attempt.attempt(), outcome, gone, confirm, waitMs, took, open);
+            Optional<AcceptedMessage> accepted = predecessorCalls.held(attempt.message());
+            if (accepted.isPresent()) {
+                attemptEnded(accepted.get(), attempt.attempt(), outcome, messageEnded, needsConfirmation, waitMs,
+                        tookMs, callOpen);
             } else {
-                // Its message was over before the handover.
-                event(() -> relay.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(attempt.message(),
-                        attempt.attempt(), outcome, took, true, waitMs, open)));
+                // The message had ended before the handover.
+                isolate(() -> policy.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(attempt.message(),
+                        attempt.attempt(), outcome, tookMs, true, waitMs, callOpen)));
             }
         }
 
-        private void closed(long message) {
-            if (inherited.closed(message)) {
-                event(() -> relay.callClosed(openTurn(), message));
+        private void predecessorCallClosed(long message) {
+            if (predecessorCalls.closed(message)) {
+                isolate(() -> policy.callClosed(openTurn(), message));
             }
         }
 
-        private void answered(long message, boolean heard) {
-            Deque<SubmissionServer.Verdict> verdicts = answering.get(message);
+        private void submissionAnswered(long message, boolean acknowledged) {
+            Deque<SubmissionServer.Verdict> verdicts = unansweredSubmissions.get(message);
             if (verdicts == null) {
-                inherited.held(message).ifPresent(held -> Sender.this.answered(held, heard));
+                predecessorCalls.held(message).ifPresent(
+                        accepted -> Sender.this.submissionAnswered(accepted, acknowledged));
                 return;
             }
             SubmissionServer.Verdict verdict = verdicts.remove();
             if (verdicts.isEmpty()) {
-                answering.remove(message);
+                unansweredSubmissions.remove(message);
             }
-            verdict.answered().accept(heard);
+            verdict.answered().accept(acknowledged);
         }
 
-        private void submit(JsonNode line) {
+        private void handleSubmission(JsonNode line) {
             try {
-                SubmissionServer.Submission s =
+                SubmissionServer.Submission submission =
                         HandoverConnection.JSON.treeToValue(line.path("submission"), SubmissionServer.Submission.class);
-                SubmissionServer.Verdict verdict = take(s);
+                SubmissionServer.Verdict verdict = admit(submission);
                 ObjectNode reply = HandoverConnection.line("reply").put("n", line.path("n").asLong())
                         .put("taken", verdict.taken());
-                Optional<AcceptedMessage> held = open.find(s.id());
-                if (verdict.taken() && held.isPresent()) {
-                    long number = held.get().number;
-                    answering.computeIfAbsent(number, message -> new ArrayDeque<>()).add(verdict);
+                Optional<AcceptedMessage> accepted = openMessages.find(submission.id());
+                if (verdict.taken() && accepted.isPresent()) {
+                    long number = accepted.get().number;
+                    unansweredSubmissions.computeIfAbsent(number, message -> new ArrayDeque<>()).add(verdict);
                     takeover.tell(reply.put("message", number));
                 } else if (verdict.taken()) {
-                    // It has run already: nothing hangs on whether its client hears of it.
+                    // The message has run already, so it does not matter whether its client receives this answer.
                     takeover.tell(reply.put("message", NO_MESSAGE));
                 } else {
                     takeover.tell(reply.put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
                             .put("reason", verdict.reason()).put("waitMs", verdict.waitMs()));
                 }
             } catch (IOException | RuntimeException e) {
-                Log.line("a message that the old process passed on can't be taken: " + e);
+                Log.line("a submission passed on by the predecessor can't be handled: " + e);
                 takeover.tell(HandoverConnection.line("reply").put("n", line.path("n").asLong())
                         .put("reason", "can't be read"));
             }
         }
 
-        private void reply(JsonNode line, OperatorServer.Answer answer) {
+        private void replyTo(JsonNode line, OperatorServer.Answer answer) {
             takeover.tell(HandoverConnection.line("reply").put("n", line.path("n").asLong())
                     .put("status", answer.status().code()).put("text", answer.text()));
         }
 
-        /** Its connections broke with it: calls may have run, and clients may have heard of their messages. */
+        /**
+         * Handles the predecessor's end. Its connections broke with it: its calls in flight may have run, and its
+         * clients may have received their answers.
+         */
         @Override
         public void gone() {
-            Log.line("the old process is gone, with " + inherited.size() + " calls out");
-            events.add("predecessor-gone", "calls", inherited.size(), "open", open.size(), "module",
-                    relay.open().size(), "unanswered", answering.size());
-            for (Out attempt : inherited.allOut()) {
-                event(() -> ended(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0, false));
+            Log.line("the old process is gone, with " + predecessorCalls.size() + " calls out");
+            events.add("predecessor-gone", "calls", predecessorCalls.size(), "open", openMessages.size(), "module",
+                    policy.open().size(), "unanswered", unansweredSubmissions.size());
+            for (Out attempt : predecessorCalls.allOut()) {
+                isolate(() -> predecessorAttemptEnded(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0,
+                        false));
             }
-            inherited.allOpen().forEach(this::closed);
-            List<SubmissionServer.Verdict> unanswered = answering.values().stream().flatMap(Deque::stream).toList();
-            answering.clear();
-            unanswered.forEach(verdict -> event(() -> verdict.answered().accept(true)));
-            for (AcceptedMessage held : inherited.allHeld()) {
-                if (!held.over) {
-                    event(() -> Sender.this.answered(held, true));
+            predecessorCalls.allOpen().forEach(this::predecessorCallClosed);
+            List<SubmissionServer.Verdict> unanswered =
+                    unansweredSubmissions.values().stream().flatMap(Deque::stream).toList();
+            unansweredSubmissions.clear();
+            unanswered.forEach(verdict -> isolate(() -> verdict.answered().accept(true)));
+            for (AcceptedMessage accepted : predecessorCalls.allHeld()) {
+                if (!accepted.over) {
+                    isolate(() -> Sender.this.submissionAnswered(accepted, true));
                 }
             }
-            inherited.clear();
+            predecessorCalls.clear();
         }
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     /**
-     * Ends in order, within the time before SIGKILL: takes messages while new connections still come, starts
-     * no call that can't end in time, and lets calls and notices out finish. The journal holds the rest.
+     * Shuts down in order, within the time before SIGKILL: accepts messages while new connections may still come,
+     * starts no call that can't end in time, and lets calls and notices in flight finish. The journal keeps the rest.
      */
     void drain() {
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         loop.execute(() -> {
-            closing = true;
+            shuttingDown = true;
             if (handover == null) {
-                // Nothing is begun, and nothing will be.
+                // Nothing has been started, and nothing will be.
                 stopped.countDown();
                 return;
             }
             if (handover.left()) {
-                awaitIdle(begun);
+                awaitIdle(startedNanos);
                 return;
             }
-            if (!owner) {
+            if (!ownsJournal) {
                 stopped.countDown();
                 return;
             }
-            event(() -> relay.closing(openTurn(), clock + closingMs));
+            isolate(() -> policy.closing(openTurn(), turnTimeMs + shutdownLimitMs));
             loop.schedule(() -> {
                 intake.close();
-                awaitIdle(begun);
-            }, takingMs, TimeUnit.MILLISECONDS);
+                awaitIdle(startedNanos);
+            }, shutdownAcceptMs, TimeUnit.MILLISECONDS);
         });
         try {
             stopped.await();
@@ -1421,36 +1505,37 @@
         }
     }
 
-    private void awaitIdle(long begun) {
-        boolean idle = handover.left() ? calls.isEmpty() && handover.unanswered() == 0 && intake.hasEnded()
-                : open.isEmpty() && notices.owed() == 0 && intake.hasEnded() && !journal.isBehind();
+    /** Finishes the shutdown once nothing is in flight or the time limit has passed. */
+    private void awaitIdle(long startedNanos) {
+        boolean idle = handover.left() ? callsInFlight.isEmpty() && handover.unanswered() == 0 && intake.hasEnded()
+                : openMessages.isEmpty() && notices.owed() == 0 && intake.hasEnded() && !journal.isBehind();
         if (idle) {
-            ended();
-        } else if (System.nanoTime() - begun >= TimeUnit.MILLISECONDS.toNanos(closingMs)) {
-            // Answers that have come by now are read first, however late this is.
-            AfterPendingReads.next(loop, this::ended);
+            finishShutdown();
+        } else if (System.nanoTime() - startedNanos >= TimeUnit.MILLISECONDS.toNanos(shutdownLimitMs)) {
+            // Answers that have arrived by now are read first, however late this check runs.
+            AfterPendingReads.next(loop, this::finishShutdown);
         } else {
-            loop.schedule(() -> awaitIdle(begun), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> awaitIdle(startedNanos), SHUTDOWN_POLL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void ended() {
+    private void finishShutdown() {
         intake.readNoMore();
-        if (owner && !handover.left()) {
+        if (ownsJournal && !handover.left()) {
             journal.catchUp();
         }
         events.flush();
-        Log.line(config.name() + " ends; its journal holds " + open.size() + " messages and "
+        Log.line(config.name() + " ends; its journal holds " + openMessages.size() + " messages and "
                 + notices.owed() + " notices");
-        untried.close();
+        unattempted.close();
         handover.close();
         stopped.countDown();
     }
 
-    /** Lets go of everything at once, as the end of the process would: the journal first. */
+    /** Releases everything at once, the journal first, as the death of the process would. */
     void kill() {
         loop.submit(() -> {
-            if (owner) {
+            if (ownsJournal) {
                 journal.close();
             }
             if (lock != null) {
