--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -534,7 +534,7 @@
         notices.tellOnce(accepted);
     }
 
-    /** Returns a message that certainly has not run, with a retry delay for its client; reports any other as failed. */
+    /** The notice that ends a message: bounced with a retry delay if it certainly has not run, otherwise failed. */
     private static AcceptedMessage.Notice finalNotice(AcceptedMessage accepted, double waitMs) {
         boolean neverRan = accepted.attempts.stream().allMatch(attempt -> attempt.neverRan);
         return new AcceptedMessage.Notice(neverRan, waitMs);
@@ -1264,13 +1264,13 @@
         }
 
         @Override
-        public void listenBeside(Runnable onListening, Runnable onFailure) {
-            listen(onListening, cause -> {
+        public void listenBeside(Runnable successCallback, Runnable failureCallback) {
+            listen(successCallback, cause -> {
                 if (isAddressHeldByPredecessor(cause)) {
                     Log.line("can't listen beside the old process, and does so once that one has left");
-                    onListening.run();
+                    successCallback.run();
                 } else {
-                    onFailure.run();
+                    failureCallback.run();
                 }
             });
         }
@@ -1283,18 +1283,18 @@
             return cause instanceof BindException && String.valueOf(cause.getMessage()).contains(ADDRESS_IN_USE);
         }
 
-        private void listen(Runnable onListening, Consumer<Throwable> onFailure) {
+        private void listen(Runnable successCallback, Consumer<Throwable> failureCallback) {
             if (listening) {
-                onListening.run();
+                successCallback.run();
                 return;
             }
             Connects.whenDone(loop, intake.listen(config.listen()), bound -> {
                 if (bound.isSuccess()) {
                     listening = true;
-                    onListening.run();
+                    successCallback.run();
                 } else {
                     Log.line("can't listen: " + bound.cause().getMessage());
-                    onFailure.accept(bound.cause());
+                    failureCallback.accept(bound.cause());
                 }
             });
         }
--- a/src/test/java/starlingvalve/net/ModuleFaultTest.java
+++ b/src/test/java/starlingvalve/net/ModuleFaultTest.java
@@ -8,104 +8,104 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A message that was taken on gets its end in time, whichever call of the decision module fails on its way. */
+/** Each accepted message ends in time, whichever call of the delivery policy fails on its way. */
 class ModuleFaultTest extends SenderFixture {
     private static final long BUDGET_MS = 2000;
-    /** After its time a message counts as lost, by the protocol. */
-    private static final long LATEST_MS = BUDGET_MS + 350;
+    /** By the protocol, a message counts as lost if it has not ended 350 ms after its deadline. */
+    private static final long LATEST_END_MS = BUDGET_MS + 350;
 
     private final AtomicInteger faults = new AtomicInteger();
 
-    /** The next calls of the module with this event fail, so many of them. */
-    private void failNext(String failing, int times) {
+    /** Makes the next {@code times} calls of this event fail in the policy. */
+    private void failNext(String failingEvent, int times) {
         faults.set(times);
         beforeEvent = (event, arguments) -> {
-            if (event.equals(failing) && faults.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-                throw new IllegalStateException("a fault that the test has put in " + event);
+            if (event.equals(failingEvent) && faults.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+                throw new IllegalStateException("fault injected by the test in " + event);
             }
         };
     }
 
-    /** Hands a message in that has little time; tells when. */
-    private long handInBrief(String id) throws Exception {
-        long at = System.nanoTime();
+    /** Submits a message with a short budget; returns the time of submission in nanoseconds. */
+    private long submitWithShortBudget(String id) throws Exception {
+        long submittedNanos = System.nanoTime();
         String request = message(id, "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
-        return at;
+        return submittedNanos;
     }
 
-    private static void assertInTime(long handedInAt) {
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedInAt);
-        assertTrue(tookMs <= LATEST_MS, "ended after " + tookMs + " ms");
+    private static void assertInTime(long submittedNanos) {
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedNanos);
+        assertTrue(tookMs <= LATEST_END_MS, "ended after " + tookMs + " ms");
     }
 
     @Test
-    void aMessageThatTheModuleWasNotToldOfIsHandedBackInTime() throws Exception {
+    void messageUnknownToThePolicyIsReturnedInTime() throws Exception {
         start();
         failNext("message", 1);
-        long at = handInBrief("forgotten");
+        long submittedNanos = submitWithShortBudget("forgotten");
         StubServer.await("the notice", () -> !notices.isEmpty());
-        assertInTime(at);
+        assertInTime(submittedNanos);
         awaitNotice("{\"ref\":\"forgotten\",\"result\":\"bounced\",\"wait_ms\":");
         assertEquals(0, calls().size());
     }
 
     @Test
-    void aMessageWhoseLastAnswerTheModuleWasNotToldOfIsEndedInTime() throws Exception {
+    void messageEndsInTimeWhenThePolicyMissesItsLastAnswer() throws Exception {
         script(StubServer.status(503, ""));
         start();
         failNext("attemptEnded", 1);
-        long at = handInBrief("unanswered");
+        long submittedNanos = submitWithShortBudget("unanswered");
         StubServer.await("the notice", () -> !notices.isEmpty());
-        assertInTime(at);
+        assertInTime(submittedNanos);
         awaitNotice("{\"ref\":\"unanswered\",\"result\":\"bounced\",\"wait_ms\":");
     }
 
     @Test
-    void aTurnThatFailsIsFollowedByAnother() throws Exception {
+    void failedTurnIsFollowedByAnother() throws Exception {
         start();
         failNext("endTurn", 1);
-        long at = handInBrief("held-up");
+        long submittedNanos = submitWithShortBudget("held-up");
         StubServer.await("the call", () -> calls().size() == 1);
-        assertInTime(at);
+        assertInTime(submittedNanos);
         awaitEmptyJournal();
     }
 
     @Test
-    void whatTheModuleOfTheNextProcessDoesNotRestoreGoesOnFromTheJournal() throws Exception {
+    void messagesThatTheSuccessorDoesNotRestoreAreRecoveredFromTheJournal() throws Exception {
         endpointStates = "DRAINING DRAINING";
         start();
         submit("waiting", "plain");
         submit("behind", "plain");
         failNext("remember", 1);
-        Sender old = sender;
+        Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         start();
         try {
             endpointStates = "SERVING SERVING";
-            StubServer.await("both are called for", () -> calls().size() == 2);
+            StubServer.await("both are sent", () -> calls().size() == 2);
             awaitEmptyJournal();
             assertEquals(0, notices.size());
         } finally {
-            old.kill();
+            predecessor.kill();
         }
     }
 
     @Test
-    void aProcessWhoseStateCanNotBeHandedOverGoesOnAndIsAskedAgain() throws Exception {
+    void processContinuesWhenItsStateCannotBeHandedOverAndIsAskedAgain() throws Exception {
         start();
-        Socket kept = client();
+        Socket keptAlive = client();
         failNext("memory", 2);
-        Sender old = sender;
+        Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         start();
         try {
-            assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("kept", "plain", "hello")).line());
+            assertEquals("HTTP/1.1 202 Accepted", exchange(keptAlive, message("kept", "plain", "hello")).line());
             submit("new", "plain");
             awaitEmptyJournal();
             assertEquals(2, calls().size());
         } finally {
-            old.kill();
+            predecessor.kill();
         }
     }
 }
--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -29,10 +29,11 @@
 import starlingvalve.DeliveryPolicy;
 
 /**
- * A whole sender over loopback sockets, for tests: clients, two endpoints of one destination, the agent, and the
- * operators' calls.
+ * Fixture for tests of a whole sender over loopback sockets, with clients, two endpoints of one destination, the
+ * discovery agent and operators' requests.
  */
 abstract class SenderFixture {
+    /** The setting {@code max_open}: how many messages the sender may hold. */
     static final int MAX_OPEN = 5;
 
     @TempDir
@@ -41,16 +42,21 @@
     final List<String> notices = new CopyOnWriteArrayList<>();
     final List<Socket> clients = new ArrayList<>();
     StubServer agent;
+    /** States of the two endpoints in the agent's list. */
     volatile String endpointStates = "SERVING SERVING";
     volatile boolean agentUp = true;
+    /** Status with which the agent answers notices. */
     volatile int reportStatus = 204;
+    /** Whether the configuration contains the endpoint list. */
     boolean listInConfig = true;
+    /** Runs before each call of the policy, with the name of its method and the arguments. */
     volatile BiConsumer<String, Object[]> beforeEvent = (event, arguments) -> { };
+    /** The setting {@code fleet_size}. */
     int fleetSize = 1;
-    /** Whether a second copy of a message may be out. */
+    /** Whether a hedge of a message in flight may be sent. */
     boolean hedging;
     final CountDownLatch killed = new CountDownLatch(1);
-    /** Endpoints of other destinations, numbered on from the two. */
+    /** Number of further destinations with one endpoint each, numbered on from the first two endpoints. */
     volatile int otherDestinations;
     String listenAddress = "127.0.0.1:0";
     Sender sender;
@@ -58,7 +64,7 @@
     InetSocketAddress address;
 
     @BeforeEach
-    void open() throws Exception {
+    void openStubs() throws Exception {
         endpoints.add(new StubServer(StubServer.status(200, "")));
         endpoints.add(new StubServer(StubServer.status(200, "")));
         agent = new StubServer(this::agent);
@@ -66,7 +72,7 @@
     }
 
     @AfterEach
-    void close() throws Exception {
+    void closeAll() throws Exception {
         if (sender != null) {
             sender.kill();
         }
@@ -79,8 +85,9 @@
         agent.close();
     }
 
-    // ---- the world ----
+    // ---- the agent and the configuration ----
 
+    /** Answers a request to the agent: a notice, or a request for the endpoint list. */
     void agent(StubServer.Message request, Socket socket) throws Exception {
         if (!agentUp) {
             return;
@@ -96,7 +103,7 @@
         }
         String knownGeneration = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
-        StubServer.await("something new on the list", () -> !knownGeneration.equals(generation()));
+        StubServer.await("the list has changed", () -> !knownGeneration.equals(generation()));
         String list = list();
         StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
@@ -143,18 +150,18 @@
         start(Sender.SHUTDOWN_LIMIT_MS);
     }
 
-    void start(long closingMs) throws Exception {
-        sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, closingMs, 0, this::interceptEvents);
+    void start(long shutdownLimitMs) throws Exception {
+        sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, shutdownLimitMs, 0, this::interceptEvents);
         address = sender.start();
     }
 
-    /** The module, with what a test does before it is told of an event. */
-    DeliveryPolicy interceptEvents(DeliveryPolicy relay) {
+    /** Wraps the policy so that {@link #beforeEvent} runs before each of its calls. */
+    DeliveryPolicy interceptEvents(DeliveryPolicy policy) {
         return (DeliveryPolicy) Proxy.newProxyInstance(DeliveryPolicy.class.getClassLoader(),
                 new Class<?>[] {DeliveryPolicy.class}, (proxy, method, arguments) -> {
                     beforeEvent.accept(method.getName(), arguments);
                     try {
-                        return method.invoke(relay, arguments);
+                        return method.invoke(policy, arguments);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
@@ -166,17 +173,20 @@
         start();
     }
 
+    /** Connects a new client. */
     Socket client() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
         clients.add(socket);
         return socket;
     }
 
+    /** Sends a request and returns the answer. */
     static StubServer.Message exchange(Socket socket, String text) throws IOException {
         StubServer.write(socket, text);
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
+    /** Text of the request that submits a message of class {@code type}. */
     static String message(String id, String type, String body) {
         return message(id, type, "", body);
     }
@@ -187,19 +197,22 @@
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Submits a message that must be accepted. */
     void submit(String id, String type) throws Exception {
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, type, "hello")).line());
     }
 
+    /** All requests that the endpoints have received. */
     List<StubServer.Message> calls() {
         return endpoints.stream().flatMap(e -> e.requests.stream()).toList();
     }
 
+    /** Sets how both endpoints answer. */
     void script(StubServer.Script script) {
         endpoints.forEach(e -> e.script(script));
     }
 
-    /** What the journal holds, read from a copy. */
+    /** Returns the messages in the journal, read from a copy of it. */
     List<AcceptedMessage> journalledMessages() {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
@@ -213,35 +226,38 @@
         }
     }
 
-    /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
+    /**
+     * Writes the journal that an earlier process run leaves behind: one message with {@code leftMs} until its deadline,
+     * with an attempt in flight since {@code attemptAgoMs} (0: none), and with or without an outstanding notice.
+     */
     AcceptedMessage leaveEarlierRun(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            long wall = System.currentTimeMillis();
-            AcceptedMessage held =
+            long nowMs = System.currentTimeMillis();
+            AcceptedMessage accepted =
                     new AcceptedMessage(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"),
-                            Optional.empty(), 7, wall + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
-            journal.taken(held);
+                            Optional.empty(), 7, nowMs + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
+            journal.taken(accepted);
             if (attemptAgoMs > 0) {
-                JournalTest.attempt(journal, held, new AcceptedMessage.Attempt("s-0", wall - attemptAgoMs));
+                JournalTest.attempt(journal, accepted, new AcceptedMessage.Attempt("s-0", nowMs - attemptAgoMs));
             }
             if (notice) {
-                journal.owed(held, new AcceptedMessage.Notice(true, 700));
+                journal.owed(accepted, new AcceptedMessage.Notice(true, 700));
             }
-            return held;
+            return accepted;
         }
     }
 
-    /** Leaves in a journal what an earlier life took on and never called for. */
+    /** Writes a message to the journal that an earlier process run accepted and never attempted. */
     static AcceptedMessage unattempted(Journal journal, String id, String type, long destination,
-            Optional<String> thread) throws IOException {
-        AcceptedMessage held = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
-                thread, destination, System.currentTimeMillis() + 15_000,
+            Optional<String> orderingKey) throws IOException {
+        AcceptedMessage accepted = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
+                orderingKey, destination, System.currentTimeMillis() + 15_000,
                 "hello".getBytes(StandardCharsets.ISO_8859_1));
-        journal.taken(held);
-        return held;
+        journal.taken(accepted);
+        return accepted;
     }
 
-    /** For lambdas, which may not throw. */
+    /** Waits for a latch, for lambdas, which may not throw checked exceptions. */
     static void awaitLatch(CountDownLatch latch) {
         try {
             assertTrue(latch.await(30, TimeUnit.SECONDS));
@@ -251,9 +267,10 @@
     }
 
     void awaitEmptyJournal() throws InterruptedException {
-        StubServer.await("the journal holds nothing", () -> journalledMessages().isEmpty());
+        StubServer.await("the journal is empty", () -> journalledMessages().isEmpty());
     }
 
+    /** Waits for one notice, which contains the given text, and for the journal to become empty. */
     void awaitNotice(String result) throws Exception {
         StubServer.await("the notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
@@ -263,6 +280,7 @@
 
     // ---- operators ----
 
+    /** Sends an operator's request; returns the status code and the body of the answer. */
     String operatorRequest(String method, String path) throws Exception {
         try (Socket socket = new Socket(sender.opsAddress().getAddress(), sender.opsAddress().getPort())) {
             StubServer.Message answer = exchange(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -270,12 +288,14 @@
         }
     }
 
+    /** Returns the value of the metric {@code svc.name} in the sender's statistics. */
     int metric(String name) throws Exception {
         return operatorRequest("GET", "/stats").lines().map(l -> l.replace("200 ", ""))
                 .filter(l -> l.startsWith("svc." + name + ":"))
                 .mapToInt(l -> Integer.parseInt(l.replaceAll(".*:(\\d+)\\|[cg]", "$1"))).findFirst().orElseThrow();
     }
 
+    /** Status code of the answer to a client's health check. */
     String healthStatus() throws Exception {
         return exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1];
     }
--- a/src/test/java/starlingvalve/net/SenderTest.java
+++ b/src/test/java/starlingvalve/net/SenderTest.java
@@ -9,10 +9,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** The whole sender over loopback sockets: operators, clients, two endpoints of one destination, and the agent. */
+/** Tests a whole sender over loopback sockets: operators, clients, two endpoints of one destination, and the agent. */
 class SenderTest extends SenderFixture {
     @Test
-    void anEndpointThatIsLeftOutGetsNothingUntilItIsPutBackWhateverTheListSays() throws Exception {
+    void endpointInMaintenanceGetsNoCallsUntilPutBackWhateverTheListSays() throws Exception {
         start();
         assertEquals("404", operatorRequest("POST", "/endpoints/s-9/maint").split(" ")[0]);
         for (int call = 0; call < 2; call++) {
@@ -38,7 +38,7 @@
         StubServer.await("the list is read", () -> agent.requests.stream().skip(before)
                 .anyMatch(r -> r.line().contains("after=" + generation)));
         submit("after", "order");
-        assertEquals(List.of(), endpoints.get(0).requests, "a later life keeps it out");
+        assertEquals(List.of(), endpoints.get(0).requests, "it is still in maintenance after a restart");
         assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-0/ready"));
         awaitEmptyJournal();
         assertEquals(1, endpoints.get(0).requests.size());
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void aThousandEndpointsAndSendersAreReadStoredAndServedAfterAKill() throws Exception {
+    void thousandEndpointsAndSendersAreReadStoredAndServedAfterKill() throws Exception {
         otherDestinations = 1022;
         fleetSize = 1024;
         script(StubServer.silent());
         start();
         String last = message("last", "order", "hello").replace("dest=7", "dest=1023");
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), last).line());
-        StubServer.await("it is out", () -> calls().size() == 1);
+        StubServer.await("the call is in flight", () -> calls().size() == 1);
         assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-1022/maint"));
         script(StubServer.status(200, ""));
         killAndRestart();
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void theFiguresCountEachEndOnce() throws Exception {
+    void metricsCountEachEndOnce() throws Exception {
         start();
         assertEquals(0, metric("served.order"));
         assertEquals(0, metric("failed.once"));
@@ -77,40 +77,38 @@
         assertEquals("HTTP/1.1 503 Service Unavailable", exchange(client(), stray).line());
         script(StubServer.silent());
         submit("three", "order");
-        StubServer.await("it is out", () -> calls().size() == 3);
+        StubServer.await("the call is in flight", () -> calls().size() == 3);
         assertEquals(List.of(1, 0, 1, 0, 0, 1, 3, 1), List.of(metric("served.order"), metric("served.once"),
                 metric("refused.order"), metric("refused.once"), metric("failed.order"), metric("failed.once"),
                 metric("attempts"), metric("in_flight")));
     }
 
     @Test
-    void clientsAreSentAwayAndTakenAgain() throws Exception {
+    void clientsAreSentAwayAndAcceptedAgain() throws Exception {
         start();
-        Socket kept = client();
-        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("one", "order", "hello")).line());
+        Socket keptAlive = client();
+        assertEquals("HTTP/1.1 202 Accepted", exchange(keptAlive, message("one", "order", "hello")).line());
         Socket idle = client();
         assertEquals("HTTP/1.1 202 Accepted", exchange(idle, message("two", "order", "hello")).line());
         assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/fail"));
         assertEquals("503", healthStatus());
         assertEquals("200 ok\n", operatorRequest("GET", "/healthcheck"), "the process itself is well");
-        StubServer.Message last = exchange(kept, message("three", "order", "hello"));
+        StubServer.Message last = exchange(keptAlive, message("three", "order", "hello"));
         assertEquals("HTTP/1.1 202 Accepted", last.line());
         assertEquals("close", last.header("Connection"));
-        assertEquals(-1, kept.getInputStream().read());
+        assertEquals(-1, keptAlive.getInputStream().read());
         assertEquals(-1, idle.getInputStream().read(), "an idle connection is closed");
         killAndRestart();
-        assertEquals("503", healthStatus(), "a later life keeps clients away");
+        assertEquals("503", healthStatus(), "clients are still sent away after a restart");
         assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/ok"));
         assertEquals("200", healthStatus());
-        StubServer.Message taken = exchange(client(), message("four", "order", "hello"));
-        assertEquals("HTTP/1.1 202 Accepted", taken.line());
-        assertEquals(null, taken.header("Connection"));
+        StubServer.Message accepted = exchange(client(), message("four", "order", "hello"));
+        assertEquals("HTTP/1.1 202 Accepted", accepted.line());
+        assertEquals(null, accepted.header("Connection"));
     }
 
-
-
     @Test
-    void aMessageIsTakenDeliveredAndForgotten() throws Exception {
+    void messageIsAcceptedDeliveredAndForgotten() throws Exception {
         start();
         submit("one", "order");
         awaitEmptyJournal();
@@ -122,11 +120,11 @@
         killAndRestart();
         submit("two", "order");
         awaitEmptyJournal();
-        assertEquals(2, calls().size(), "what was delivered is not sent again by a later life");
+        assertEquals(2, calls().size(), "a delivered message is not sent again after a restart");
     }
 
     @Test
-    void aMessageThatIsOverIsOwedNothing() throws Exception {
+    void messageEndedByAnswerGetsNoNotice() throws Exception {
         script(StubServer.status(410, ""));
         start();
         submit("one", "order");
@@ -135,7 +133,7 @@
     }
 
     @Test
-    void aMessageThatMayNotBeRepeatedEndsByANotice() throws Exception {
+    void unrepeatableMessageEndsWithNotice() throws Exception {
         script(StubServer.status(500, ""));
         start();
         submit("one", "once");
@@ -144,12 +142,12 @@
     }
 
     @Test
-    void aNoticeIsRepeatedUntilItIsHeard() throws Exception {
+    void noticeIsRepeatedUntilAcknowledged() throws Exception {
         script(StubServer.status(500, ""));
         reportStatus = 500;
         start();
         submit("one", "once");
-        StubServer.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
+        StubServer.await("several attempts", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
         assertEquals(1, journalledMessages().size());
         reportStatus = 204;
@@ -157,14 +155,14 @@
     }
 
     @Test
-    void messagesOfOneThreadGoOneAtATimeWhateverTheirIdempotencyKeys() throws Exception {
+    void messagesOfOneOrderingKeyGoOneAtATimeWhateverTheirIdempotencyKeys() throws Exception {
         script(StubServer.silent());
         start();
         for (String id : List.of("one", "two", "three")) {
-            String thread = "?thread=" + (id.equals("three") ? "other" : "same");
-            assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, "once", thread, "hello")).line());
+            String query = "?thread=" + (id.equals("three") ? "other" : "same");
+            assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, "once", query, "hello")).line());
         }
-        StubServer.await("the first of each thread", () -> calls().size() == 2);
+        StubServer.await("the first of each ordering key", () -> calls().size() == 2);
         assertEquals(Set.of("one", "three"), calls().stream().map(c -> c.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
         script(StubServer.status(200, ""));
@@ -176,11 +174,12 @@
     }
 
     @Test
-    void aToldWaitIsKept() throws Exception {
+    void retryAfterDelaysFurtherCalls() throws Exception {
         start();
         script(StubServer.status(429, "Retry-After: 0.6\r\n"));
         submit("one", "order");
-        StubServer.await("the wait is told", () -> journalledMessages().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        StubServer.await("Retry-After is received",
+                () -> journalledMessages().get(0).attempts.stream().anyMatch(a -> a.neverRan));
         script(StubServer.status(200, ""));
         submit("two", "order");
         StubServer.await("both delivered", () -> calls().size() == 3);
@@ -191,7 +190,7 @@
     }
 
     @Test
-    void nothingNewGoesToADrainingEndpoint() throws Exception {
+    void drainingEndpointGetsNoNewCalls() throws Exception {
         start();
         for (int round = 0; round < 2; round++) {
             endpointStates = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
@@ -209,20 +208,20 @@
     }
 
     @Test
-    void aSilentAgentHoldsNothingUp() throws Exception {
+    void silentAgentDelaysNothing() throws Exception {
         agentUp = false;
         start();
         assertEquals("HTTP/1.1 200 OK", exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
         submit("one", "order");
         awaitEmptyJournal();
         agentUp = true;
-        StubServer.await("the list is asked for again", () -> agent.requests.stream()
+        StubServer.await("the list is requested again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
     }
 
     @Test
-    void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        AcceptedMessage old = leaveEarlierRun("order", 1000, 20_000, false);
+    void nothingIsAcceptedOrGivenUpBeforeListIsKnown() throws Exception {
+        AcceptedMessage recovered = leaveEarlierRun("order", 1000, 20_000, false);
         listInConfig = false;
         agentUp = false;
         start();
@@ -230,7 +229,7 @@
         assertEquals("503", exchange(client(), message("one", "order", "hello")).line().split(" ")[1]);
         agentUp = true;
         awaitEmptyJournal();
-        assertEquals(List.of(old.id), calls().stream().map(c -> c.header("X-Call-Id")).toList());
+        assertEquals(List.of(recovered.id), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals("200", exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
     }
 }
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy;
 
-/** The end of a sender's process, by signal, and signals while it starts. */
+/** Tests the end of a sender's process by signals, and signals that arrive while it starts. */
 class ShutdownTest extends SenderFixture {
     @Test
-    void aDrainTakesThenClosesAndLetsCallsOutFinish() throws Exception {
+    void drainAcceptsThenClosesAndLetsCallsInFlightFinish() throws Exception {
         script(StubServer.silent());
         start(60_000);
-        Socket kept = client();
-        assertEquals("202", exchange(kept, message("one", "once", "hello")).line().split(" ")[1]);
+        Socket keptAlive = client();
+        assertEquals("202", exchange(keptAlive, message("one", "once", "hello")).line().split(" ")[1]);
         StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
-        StubServer.await("no new connection is taken", () -> {
+        StubServer.await("no new connection is accepted", () -> {
             try {
                 client().close();
                 return false;
@@ -42,11 +42,11 @@
                 return true;
             }
         });
-        StubServer.Message last = exchange(kept, message("two", "order", "hello"));
+        StubServer.Message last = exchange(keptAlive, message("two", "order", "hello"));
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
-        assertEquals(-1, kept.getInputStream().read());
-        assertTrue(drain.isAlive(), "calls out are waited for");
+        assertEquals(-1, keptAlive.getInputStream().read());
+        assertTrue(drain.isAlive(), "calls in flight are waited for");
         StubServer.await("both calls", () -> calls().size() == 2);
         for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aDrainEndsInTimeAndTheJournalHoldsTheRest() throws Exception {
+    void drainEndsInTimeAndTheJournalKeepsTheRest() throws Exception {
         script(StubServer.silent());
         start();
         submit("one", "order");
@@ -66,9 +66,9 @@
         assertEquals(1, journalledMessages().get(0).attempts.size());
     }
 
-    /** Told to end before it began: it hung until it was killed, as there was nothing to end yet. */
+    /** A process that is told to end before it has started must exit; it hung until it was killed. */
     @Test
-    void anEndThatIsToldBeforeTheStartIsKept() throws Exception {
+    void drainBeforeStartEndsTheProcess() throws Exception {
         sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
         Thread drain = new Thread(sender::drain);
         drain.start();
@@ -76,9 +76,9 @@
         assertFalse(drain.isAlive());
     }
 
-    /** Told to end while the journal is replayed: what is untried then is called for, or left to the next life. */
+    /** A drain during the journal's replay: unattempted messages are sent, or stay in the journal for a restart. */
     @Test
-    void anEndThatIsToldInTheReplayCostsNothingUntried() throws Exception {
+    void drainDuringReplayLosesNoUnattemptedMessage() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (String id : List.of("first", "second", "third")) {
                 unattempted(journal, id, "once", 7, Optional.of("thread"));
@@ -88,7 +88,7 @@
         beforeEvent = (event, arguments) -> {
             if (event.equals("resumed") && drain.getState() == Thread.State.NEW) {
                 drain.start();
-                // It waits for the loop, which stands here: its task comes in the middle of the replay.
+                // The drain waits for the loop, which is blocked here: its task is queued in the middle of the replay.
                 awaitState(drain, Thread.State.WAITING);
             }
         };
@@ -96,7 +96,7 @@
         drain.join(20_000);
         assertFalse(drain.isAlive());
         assertEquals(List.of(), notices);
-        assertEquals(3, calls().size() + journalledMessages().stream().filter(held -> held.attempts.isEmpty()).count());
+        assertEquals(3, calls().size() + journalledMessages().stream().filter(accepted -> accepted.attempts.isEmpty()).count());
     }
 
     private static void awaitState(Thread thread, Thread.State state) {
@@ -107,94 +107,99 @@
         }
     }
 
-    /** A connection that the kernel has taken, with its request, when the sender is told to end. */
+    /** The kernel has accepted a connection with its request when the sender is told to end. */
     @Test
-    void aRequestInTheAcceptQueueAtTheEndIsAnswered() throws Exception {
+    void requestInTheAcceptQueueAtShutdownIsAnswered() throws Exception {
         start();
-        CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch loopBlocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         beforeEvent = (event, arguments) -> {
             if (event.equals("closing")) {
-                busy.countDown();
-                awaitLatch(go);
+                loopBlocked.countDown();
+                awaitLatch(release);
             }
         };
         Thread drain = new Thread(sender::drain);
         drain.start();
-        awaitLatch(busy);
-        // The loop stands in the drain: this connection and its request can only lie in the queue.
+        awaitLatch(loopBlocked);
+        // The loop is blocked in the drain, so this connection and its request can only wait in the accept queue.
         Socket late = client();
         StubServer.write(late, message("late", "plain", "hello"));
-        go.countDown();
+        release.countDown();
         StubServer.Message answer = StubServer.read(new BufferedInputStream(late.getInputStream()), 0);
         assertEquals("HTTP/1.1 202 Accepted", answer.line());
         drain.join();
-        assertEquals(1, calls().size() + journalledMessages().size(), "delivered, or left to the next life");
+        assertEquals(1, calls().size() + journalledMessages().size(), "delivered, or left in the journal");
     }
 
-    /** The answer lies in the socket when the closing time is over: it counted as one that may have run. */
+    /** An answer that waits unread in its socket when the shutdown limit passes must not count as "may have run". */
     @Test
-    void anAnswerThatHasComeGoesBeforeTheEndOfTheClosingTime() throws Exception {
-        long closingMs = 4000;
+    void receivedAnswerIsReadBeforeTheShutdownLimitEndsTheProcess() throws Exception {
+        long shutdownLimitMs = 4000;
         script(StubServer.silent());
-        start(closingMs);
-        Socket kept = client();
-        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("one", "once", "hello")).line());
+        start(shutdownLimitMs);
+        Socket keptAlive = client();
+        assertEquals("HTTP/1.1 202 Accepted", exchange(keptAlive, message("one", "once", "hello")).line());
         StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
-        AtomicLong begun = new AtomicLong();
-        CompletableFuture<Boolean> endedBefore = new CompletableFuture<>();
-        AtomicInteger questions = new AtomicInteger();
+        AtomicLong drainStartedNanos = new AtomicLong();
+        CompletableFuture<Boolean> answerReadFirst = new CompletableFuture<>();
+        AtomicInteger mayStartQueries = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
             if (event.equals("closing")) {
-                begun.set(System.nanoTime());
-            } else if (event.equals("mayStart") && questions.incrementAndGet() == 2) {
-                // A connection for the second message is up. The first is answered while the loop is held up.
+                drainStartedNanos.set(System.nanoTime());
+            } else if (event.equals("mayStart") && mayStartQueries.incrementAndGet() == 2) {
+                // A connection for the second message is established. The first is answered while the loop is blocked.
                 answerAll();
-                while (System.nanoTime() - begun.get() < (closingMs + 100) * 1_000_000) {
+                while (System.nanoTime() - drainStartedNanos.get() < (shutdownLimitMs + 100) * 1_000_000) {
                     Thread.onSpinWait();
                 }
             } else if (event.equals("attemptEnded") && arguments[1] instanceof DeliveryPolicy.AttemptEnd end
                     && end.message() == 0 && end.outcome() == DeliveryPolicy.Outcome.DELIVERED) {
-                endedBefore.complete(!join(drain));
+                answerReadFirst.complete(!join(drain));
             }
         };
         drain.start();
-        StubServer.await("it closes", () -> begun.get() > 0);
-        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("two", "plain", "hello")).line());
-        assertTrue(endedBefore.get(30, TimeUnit.SECONDS), "the answer is read while the process still runs");
+        StubServer.await("the drain has started", () -> drainStartedNanos.get() > 0);
+        assertEquals("HTTP/1.1 202 Accepted", exchange(keptAlive, message("two", "plain", "hello")).line());
+        assertTrue(answerReadFirst.get(30, TimeUnit.SECONDS), "the answer is read while the process still runs");
         drain.join();
     }
 
-    /** It was read, and the process gone before its answer: lost, or sent by the next life here and by another. */
+    /**
+     * A request that is read just before the process exits gets no answer: it is lost, or sent both after a restart
+     * here and by another sender.
+     */
     @Test
-    void nothingIsReadOnceTheProcessMayBeGone() throws Exception {
+    void nothingIsReadOnceTheProcessMayExit() throws Exception {
         script(StubServer.silent());
         start(1500);
-        Socket kept = client();
+        Socket keptAlive = client();
         submit("one", "order");
         StubServer.await("the call", () -> calls().size() == 1);
         sender.drain();
-        StubServer.write(kept, message("late", "plain", "hello"));
-        // The loop reads what has come once before it answers the second of these.
+        StubServer.write(keptAlive, message("late", "plain", "hello"));
+        // Before the loop answers the second of these requests, it has read all pending input once.
         operatorRequest("GET", "/stats");
         operatorRequest("GET", "/stats");
-        assertEquals(List.of("one"), journalledMessages().stream().map(held -> held.id).toList());
-        assertEquals(0, kept.getInputStream().available());
+        assertEquals(List.of("one"), journalledMessages().stream().map(accepted -> accepted.id).toList());
+        assertEquals(0, keptAlive.getInputStream().available());
     }
 
-    /** The settings were replaced while they were read, or before anything was begun: the old address stood for good. */
+    /**
+     * Settings that are replaced while they are read, or before the start, must not leave the old address in effect.
+     */
     @Test
-    void aNewDiscoveryAddressThatIsToldBeforeTheStartIsKept() throws Exception {
+    void discoveryAddressChangedBeforeStartIsUsed() throws Exception {
         sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
-        try (StubServer old = agent) {
+        try (StubServer oldAgent = agent) {
             agent = new StubServer(this::agent);
             config();
             sender.reconfigure(Map.of("GW_CONFIG", folder.resolve("config.json").toString()));
             address = sender.start();
-            StubServer.await("the new one is watched", () -> agent.requests.stream()
+            StubServer.await("the new agent is watched", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=")));
-            assertEquals(List.of(), old.requests);
+            assertEquals(List.of(), oldAgent.requests);
         }
     }
 
@@ -208,7 +213,7 @@
         }
     }
 
-    /** Whether that thread is over, given a moment to be so. */
+    /** Whether the thread has ended, after waiting for it for a moment. */
     private static boolean join(Thread thread) {
         try {
             thread.join(300);
@@ -218,9 +223,9 @@
         }
     }
 
-    /** The program itself, as a process: SIGKILL loses nothing, and SIGTERM ends it by its own will. */
+    /** Runs the program as a process: SIGKILL loses nothing, and on SIGTERM it exits by itself. */
     @Test
-    void theProcessOutlivesItsSignals() throws Exception {
+    void processLosesNothingBySigkillAndExitsOnSigterm() throws Exception {
         script(StubServer.silent());
         config();
         Process first = process();
@@ -236,20 +241,20 @@
         assertFalse(second.isAlive());
     }
 
-    /** The file is just being replaced when the signal comes: what it says counts as told all the same. */
+    /** The signal arrives while the file is still being replaced: the new configuration must be read all the same. */
     @Test
-    void aNewConfigurationThatIsWholeOnlyAfterItsSignalIsTaken() throws Exception {
+    void configurationThatIsCompleteOnlyAfterItsSignalIsUsed() throws Exception {
         config();
         Process process = process();
-        StubServer.await("discovery is asked", () -> !agent.requests.isEmpty());
-        try (StubServer old = agent) {
+        StubServer.await("discovery gets a request", () -> !agent.requests.isEmpty());
+        try (StubServer oldAgent = agent) {
             agent = new StubServer(this::agent);
             Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"127.");
             hangUp(process);
-            StubServer.await("a part of it is read",
+            StubServer.await("the incomplete file is read",
                     () -> processLog().contains("the new configuration can't be read"));
             config();
-            StubServer.await("the new one is watched",
+            StubServer.await("the new agent is watched",
                     () -> agent.requests.stream().anyMatch(r -> r.line().contains("after=")));
         }
         assertTrue(process.isAlive());
@@ -265,15 +270,15 @@
     }
 
     @Test
-    void theProcessOutlivesAHangUpAndUsesTheNewDiscoveryAddress() throws Exception {
+    void processSurvivesSighupAndUsesTheNewDiscoveryAddress() throws Exception {
         config();
         Process process = process();
-        StubServer.await("discovery is asked", () -> !agent.requests.isEmpty());
+        StubServer.await("discovery gets a request", () -> !agent.requests.isEmpty());
         reportStatus = 500;
         script(StubServer.status(500, ""));
         submit("one", "once");
-        StubServer.await("a notice is tried", () -> agent.requests.stream().anyMatch(r -> r.line().startsWith("POST")));
-        try (StubServer old = agent) {
+        StubServer.await("a notice is sent", () -> agent.requests.stream().anyMatch(r -> r.line().startsWith("POST")));
+        try (StubServer oldAgent = agent) {
             agent = new StubServer(this::agent);
             Path file = folder.resolve("config.json");
             Files.writeString(file, "{ no configuration");
@@ -282,7 +287,7 @@
             reportStatus = 204;
             hangUp(process);
             awaitNotice("dead");
-            StubServer.await("the list is asked for whole, then watched", () -> agent.requests.stream()
+            StubServer.await("the whole list is requested, then watched", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=")));
             assertTrue(agent.requests.stream().anyMatch(r -> r.line().equals("GET /v1/servers HTTP/1.1")));
         }
@@ -290,9 +295,12 @@
         process.destroyForcibly().waitFor();
     }
 
-    /** Seen on roll+mass, started with nohup: every sender asked the old discovery for good, with no word of it. */
+    /**
+     * Under nohup SIGHUP is ignored from the start: every sender kept asking the old discovery address, and no log line
+     * told why.
+     */
     @Test
-    void aHangUpThatIsIgnoredFromOutsideIsToldAtTheStart() throws Exception {
+    void inheritedIgnoreOfSighupIsLoggedAtStart() throws Exception {
         config();
         Process process = process("sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
         assertTrue(Files.readString(processLog).contains("SIGHUP ignored"));
@@ -303,8 +311,8 @@
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
-    private Process process(String... through) throws Exception {
-        List<String> command = new ArrayList<>(List.of(through));
+    private Process process(String... launcher) throws Exception {
+        List<String> command = new ArrayList<>(List.of(launcher));
         command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString(),
                 "-cp", System.getProperty("java.class.path"), "starlingvalve.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
@@ -317,12 +325,13 @@
         StubServer.await("the process is ready", () -> {
             try {
                 String text = Files.readString(log);
-                int at = text.indexOf(ready);
-                if (at < 0 || text.indexOf('\n', at) < 0) {
+                int readyIndex = text.indexOf(ready);
+                if (readyIndex < 0 || text.indexOf('\n', readyIndex) < 0) {
                     return false;
                 }
                 address = new InetSocketAddress("127.0.0.1",
-                        Integer.parseInt(text.substring(at + ready.length(), text.indexOf('\n', at)).trim()));
+                        Integer.parseInt(text.substring(readyIndex + ready.length(), text.indexOf('\n', readyIndex))
+                                .trim()));
                 return true;
             } catch (IOException e) {
                 throw new AssertionError(e);
