--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -1126,7 +1126,7 @@
             });
         }
 
-        /** Forwards a command to the successor, which owns the journal; rejects it if this process never owned it. */
+        /** Forwards a command to the successor that takes over the journal; rejects it before this process owns it. */
         private void forward(ObjectNode line, Consumer<OperatorServer.Answer> callback, Runnable localAction) {
             if (!ownsJournal) {
                 callback.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -96,7 +96,8 @@
         drain.join(20_000);
         assertFalse(drain.isAlive());
         assertEquals(List.of(), notices);
-        assertEquals(3, calls().size() + journalledMessages().stream().filter(accepted -> accepted.attempts.isEmpty()).count());
+        assertEquals(3, calls().size()
+                + journalledMessages().stream().filter(accepted -> accepted.attempts.isEmpty()).count());
     }
 
     private static void awaitState(Thread thread, Thread.State state) {
