--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -29,10 +29,11 @@
 import starlingvalve.DeliveryPolicy;
 
 /**
- * A whole sender over loopback sockets, for tests: clients, two endpoints of one destination, the agent, and the
- * operators' calls.
+ * Fixture for tests of a whole sender over loopback sockets, with clients, two endpoints of one destination, the
+ * discovery agent and operators' requests.
  */
 abstract class SenderFixture {
+    /** The setting {@code max_open}: how many messages the sender may hold. */
     static final int MAX_OPEN = 5;
 
     @TempDir
@@ -41,24 +42,29 @@
     final List<String> notices = new CopyOnWriteArrayList<>();
     final List<Socket> clients = new ArrayList<>();
     StubServer agent;
-    volatile String states = "SERVING SERVING";
+    /** States of the two endpoints in the agent's list. */
+    volatile String endpointStates = "SERVING SERVING";
     volatile boolean agentUp = true;
+    /** Status with which the agent answers notices. */
     volatile int reportStatus = 204;
-    boolean known = true;
+    /** Whether the configuration contains the endpoint list. */
+    boolean listInConfig = true;
+    /** Runs before each call of the policy, with the name of its method and the arguments. */
     volatile BiConsumer<String, Object[]> beforeEvent = (event, arguments) -> { };
-    int fleet = 1;
-    /** Whether a second copy of a message may be out. */
-    boolean copies;
+    /** The setting {@code fleet_size}. */
+    int fleetSize = 1;
+    /** Whether a hedge of a message in flight may be sent. */
+    boolean hedging;
     final CountDownLatch killed = new CountDownLatch(1);
-    /** Endpoints of other destinations, numbered on from the two. */
-    volatile int others;
-    String listen = "127.0.0.1:0";
+    /** Number of further destinations with one endpoint each, numbered on from the first two endpoints. */
+    volatile int otherDestinations;
+    String listenAddress = "127.0.0.1:0";
     Sender sender;
     Path processLog;
     InetSocketAddress address;
 
     @BeforeEach
-    void open() throws Exception {
+    void openStubs() throws Exception {
         endpoints.add(new StubServer(StubServer.status(200, "")));
         endpoints.add(new StubServer(StubServer.status(200, "")));
         agent = new StubServer(this::agent);
@@ -66,7 +72,7 @@
     }
 
     @AfterEach
-    void close() throws Exception {
+    void closeAll() throws Exception {
         if (sender != null) {
             sender.kill();
         }
@@ -79,8 +85,9 @@
         agent.close();
     }
 
-    // ---- the world ----
+    // ---- the agent and the configuration ----
 
+    /** Answers a request to the agent: a notice, or a request for the endpoint list. */
     void agent(StubServer.Message request, Socket socket) throws Exception {
         if (!agentUp) {
             return;
@@ -94,21 +101,21 @@
                     + (status == 204 ? "\r\n" : "Content-Length: 0\r\n\r\n"));
             return;
         }
-        String known = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
+        String knownGeneration = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
-        StubServer.await("something new on the list", () -> !known.equals(generation()));
+        StubServer.await("the list has changed", () -> !knownGeneration.equals(generation()));
         String list = list();
         StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
 
     String generation() {
-        return Integer.toString(1000 + (states + others).hashCode() % 1000);
+        return Integer.toString(1000 + (endpointStates + otherDestinations).hashCode() % 1000);
     }
 
     String list() {
-        String[] state = states.split(" ");
+        String[] state = endpointStates.split(" ");
         return "{\"generation\":" + generation() + ",\"reset\":true,\"instances\":[" + entry(0, state[0]) + ","
-                + entry(1, state[1]) + IntStream.range(2, 2 + others)
+                + entry(1, state[1]) + IntStream.range(2, 2 + otherDestinations)
                 .mapToObj(i -> "," + entry(i, "SERVING")).collect(Collectors.joining()) + "]}";
     }
 
@@ -133,50 +140,53 @@
                   "fleet_size":%d,"limits":{"most_tries":12,"second_copies":%s,"cancel":true,"max_open":%d,
                    "dial_timeout_ms":1000,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(listen, agent.hostPort(), known ? list() : "null", classes, fleet,
-                        copies, MAX_OPEN));
+                """.formatted(listenAddress, agent.hostPort(), listInConfig ? list() : "null", classes, fleetSize,
+                        hedging, MAX_OPEN));
         return Config.read(Map.of("GW_CONFIG", file.toString(), "GW_STATE", folder.resolve("state").toString(),
                 "TMPDIR", folder.toString()));
     }
 
     void start() throws Exception {
-        start(Sender.CLOSING_MS);
+        start(Sender.SHUTDOWN_LIMIT_MS);
     }
 
-    void start(long closingMs) throws Exception {
-        sender = new Sender(config(), Sender.TAKING_MS, closingMs, 0, this::watched);
+    void start(long shutdownLimitMs) throws Exception {
+        sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, shutdownLimitMs, 0, this::interceptEvents);
         address = sender.start();
     }
 
-    /** The module, with what a test does before it is told of an event. */
-    DeliveryPolicy watched(DeliveryPolicy relay) {
+    /** Wraps the policy so that {@link #beforeEvent} runs before each of its calls. */
+    DeliveryPolicy interceptEvents(DeliveryPolicy policy) {
         return (DeliveryPolicy) Proxy.newProxyInstance(DeliveryPolicy.class.getClassLoader(),
                 new Class<?>[] {DeliveryPolicy.class}, (proxy, method, arguments) -> {
                     beforeEvent.accept(method.getName(), arguments);
                     try {
-                        return method.invoke(relay, arguments);
+                        return method.invoke(policy, arguments);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
                 });
     }
 
-    void killAndStart() throws Exception {
+    void killAndRestart() throws Exception {
         sender.kill();
         start();
     }
 
+    /** Connects a new client. */
     Socket client() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
         clients.add(socket);
         return socket;
     }
 
-    static StubServer.Message ask(Socket socket, String text) throws IOException {
+    /** Sends a request and returns the answer. */
+    static StubServer.Message exchange(Socket socket, String text) throws IOException {
         StubServer.write(socket, text);
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
+    /** Text of the request that submits a message of class {@code type}. */
     static String message(String id, String type, String body) {
         return message(id, type, "", body);
     }
@@ -187,20 +197,23 @@
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    void handIn(String id, String type) throws Exception {
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, type, "hello")).line());
+    /** Submits a message that must be accepted. */
+    void submit(String id, String type) throws Exception {
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, type, "hello")).line());
     }
 
+    /** All requests that the endpoints have received. */
     List<StubServer.Message> calls() {
         return endpoints.stream().flatMap(e -> e.requests.stream()).toList();
     }
 
+    /** Sets how both endpoints answer. */
     void script(StubServer.Script script) {
         endpoints.forEach(e -> e.script(script));
     }
 
-    /** What the journal holds, read from a copy. */
-    List<AcceptedMessage> journalled() {
+    /** Returns the messages in the journal, read from a copy of it. */
+    List<AcceptedMessage> journalledMessages() {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
             Files.copy(folder.resolve("state/journal"), copy.resolve("journal"),
@@ -213,35 +226,38 @@
         }
     }
 
-    /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
-    AcceptedMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    /**
+     * Writes the journal that an earlier process run leaves behind: one message with {@code leftMs} until its deadline,
+     * with an attempt in flight since {@code attemptAgoMs} (0: none), and with or without an outstanding notice.
+     */
+    AcceptedMessage leaveEarlierRun(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            long wall = System.currentTimeMillis();
-            AcceptedMessage held =
+            long nowMs = System.currentTimeMillis();
+            AcceptedMessage accepted =
                     new AcceptedMessage(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"),
-                            Optional.empty(), 7, wall + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
-            journal.taken(held);
+                            Optional.empty(), 7, nowMs + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
+            journal.taken(accepted);
             if (attemptAgoMs > 0) {
-                JournalTest.attempt(journal, held, new AcceptedMessage.Attempt("s-0", wall - attemptAgoMs));
+                JournalTest.attempt(journal, accepted, new AcceptedMessage.Attempt("s-0", nowMs - attemptAgoMs));
             }
             if (notice) {
-                journal.owed(held, new AcceptedMessage.Notice(true, 700));
+                journal.owed(accepted, new AcceptedMessage.Notice(true, 700));
             }
-            return held;
+            return accepted;
         }
     }
 
-    /** Leaves in a journal what an earlier life took on and never called for. */
-    static AcceptedMessage untried(Journal journal, String id, String type, long destination,
-            Optional<String> thread) throws IOException {
-        AcceptedMessage held = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
-                thread, destination, System.currentTimeMillis() + 15_000,
+    /** Writes a message to the journal that an earlier process run accepted and never attempted. */
+    static AcceptedMessage unattempted(Journal journal, String id, String type, long destination,
+            Optional<String> orderingKey) throws IOException {
+        AcceptedMessage accepted = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
+                orderingKey, destination, System.currentTimeMillis() + 15_000,
                 "hello".getBytes(StandardCharsets.ISO_8859_1));
-        journal.taken(held);
-        return held;
+        journal.taken(accepted);
+        return accepted;
     }
 
-    /** For lambdas, which may not throw. */
+    /** Waits for a latch, for lambdas, which may not throw checked exceptions. */
     static void awaitLatch(CountDownLatch latch) {
         try {
             assertTrue(latch.await(30, TimeUnit.SECONDS));
@@ -250,33 +266,37 @@
         }
     }
 
-    void awaitNothingHeld() throws InterruptedException {
-        StubServer.await("the journal holds nothing", () -> journalled().isEmpty());
+    void awaitEmptyJournal() throws InterruptedException {
+        StubServer.await("the journal is empty", () -> journalledMessages().isEmpty());
     }
 
+    /** Waits for one notice, which contains the given text, and for the journal to become empty. */
     void awaitNotice(String result) throws Exception {
         StubServer.await("the notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(1, notices.size());
     }
 
     // ---- operators ----
 
-    String operator(String method, String path) throws Exception {
+    /** Sends an operator's request; returns the status code and the body of the answer. */
+    String operatorRequest(String method, String path) throws Exception {
         try (Socket socket = new Socket(sender.opsAddress().getAddress(), sender.opsAddress().getPort())) {
-            StubServer.Message answer = ask(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            StubServer.Message answer = exchange(socket, method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
             return answer.line().split(" ")[1] + " " + answer.body();
         }
     }
 
-    int figure(String name) throws Exception {
-        return operator("GET", "/stats").lines().map(l -> l.replace("200 ", ""))
+    /** Returns the value of the metric {@code svc.name} in the sender's statistics. */
+    int metric(String name) throws Exception {
+        return operatorRequest("GET", "/stats").lines().map(l -> l.replace("200 ", ""))
                 .filter(l -> l.startsWith("svc." + name + ":"))
                 .mapToInt(l -> Integer.parseInt(l.replaceAll(".*:(\\d+)\\|[cg]", "$1"))).findFirst().orElseThrow();
     }
 
-    String health() throws Exception {
-        return ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1];
+    /** Status code of the answer to a client's health check. */
+    String healthStatus() throws Exception {
+        return exchange(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1];
     }
 }
