--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -14,680 +14,662 @@
 import java.util.stream.DoubleStream;
 
 /**
- * The decision module. Its interface, with all types, events and actions, is DeliveryPolicy.java.
+ * The delivery scheduler: implements {@link DeliveryPolicy}, which defines all types, events and actions.
  *
- * <p>A message waits in the queue until {@link #endTurn}, which ranks what waits and gives each message the
- * best endpoint that {@link #maySend} lets pass; the send starts a wave. At a fixed offset a copy joins if
- * the {@link Throttle} allows. The first delivery wins and the rest are cancelled; when every attempt of
- * the wave has ended retryable the message waits again, for a new wave. {@link #finish} gives every final
- * answer.
+ * <p>A message waits in the queue until {@link #endTurn}, which ranks the queued messages and sends each to
+ * the best endpoint that passes {@link #maySend}. That send starts a round: after a fixed delay a hedge joins
+ * it if its {@link Throttle} allows. The first delivery wins and the other attempts are cancelled. When all
+ * attempts of the round have ended and may be retried, the message is queued for a retry round. {@link
+ * #endUndelivered} gives every final answer.
  *
- * <p>Parts: {@link Delivery} is a message and its wave; {@link Call} what travels together; {@link Limit} the
- * pace of a destination or route; {@link Target} an endpoint with its health; {@link Throttle} bounds copies
- * and new tries; {@link Connections} is the trust in idle connections, {@link KeyOrder} the keys in order.
- * All times are milliseconds, all rates calls a millisecond.
+ * <p>Parts: {@link Delivery} is a message and its round; {@link Call} one request with its messages; {@link
+ * RateLimiter} paces a destination or route; {@link EndpointState} is an endpoint and its health; {@link
+ * Throttle} bounds hedges and retries; {@link IdleConnectionTrust} decides which idle connections are used;
+ * {@link KeyOrder} keeps keys in order. Times are in milliseconds, rates in calls per millisecond.
  */
 final class DeliveryScheduler implements DeliveryPolicy {
-    // The wave.
-    /** Share of the aim after which a copy is scheduled (the design's default). */
-    private static final double COPY_OFFSET = 0.5;
-    /** Copies over the period: this many, and this share of the first sends (the design's default). */
-    private static final double COPY_BASE = 1;
-    private static final double COPY_SHARE = 0.1;
+    // Rounds. Throttles allow a fixed number per period, and a share of the first sends in that period.
+    private static final double HEDGE_DELAY_SHARE = 0.5; // of the latency target
+    private static final double HEDGE_BASE = 1;
+    private static final double HEDGE_SHARE = 0.1;
     private static final double THROTTLE_PERIOD_MS = 10_000;
-    /** New waves of refused messages, alike. */
-    private static final double RETRY_BASE = 2;
+    private static final double RETRY_BASE = 2; // retry rounds of refused messages
     private static final double RETRY_SHARE = 0.3;
-    /** First pause before a new wave and its growth, lest quick errors or many senders burn all attempts. */
-    private static final double BACKOFF_MS = 200;
+    /** First back-off before a retry round: quick errors or many senders must not use up all attempts. */
+    private static final double FIRST_BACKOFF_MS = 200;
     private static final double BACKOFF_GROWTH = 3;
-    /** A keyed repeat stays this far inside its window, for the time that it travels. */
-    private static final double WINDOW_MARGIN_MS = 300;
+    private static final double WINDOW_MARGIN_MS = 300; // travel time of a keyed repeat, within its window
 
-    // Time-outs: the aim and a quarter at least, more where answers are seen to take longer.
-    private static final double TIMEOUT_AIMS = 1.25;
+    // Time-outs: a multiple of the latency target, or more where answers are observed to take longer.
+    private static final double TIMEOUT_TARGET_MULTIPLE = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    /** An unsafe message has one try that may run, which may take this share of its deadline at least. */
-    private static final double UNSAFE_PATIENCE = 0.33;
-    /** Answer time assumed of an endpoint that has not answered yet. */
-    private static final double FIRST_LATENCY_MS = 250;
-
-    // Pace.
-    /** A pace is cut to this share: at first of the last second's sends. */
-    private static final double PACE_CUT = 0.7;
-    /** A pace stands for no more than this multiple of what was sent of late: unused, it only grows. */
-    private static final double PACE_OVER_SENT = 1.3;
-    /** Growth of a pace with each delivery: little near where it was refused, until that is so long ago. */
-    private static final double PACE_GROWTH = 0.15;
-    private static final double PACE_PROBE = 0.03;
-    private static final double PACE_NEAR = 0.9;
-    private static final double PACE_MEMORY_MS = 4000;
-    /**
-     * Longest interval of a pace after one refusal where no rate is listed: two calls a second from each of
-     * many senders are too many. It grows so with each further refusal, up to so often, and falls again.
-     */
-    private static final double PACE_PAUSE_MS = 500;
-    private static final double PACE_PAUSE_GROWTH = 3;
-    private static final int PACE_PAUSES = 4;
-    /** A pace may be ahead of itself by so long: for all senders together, so long at the limit. */
-    private static final double PACE_BURST_MS = 250;
-    /** Slowest pace, as a share of the calls that this sender's messages need there. */
-    private static final double PACE_LEAST_SHARE = 0.2;
-    /** The same as a share of the even part of a listed rate, which may be half too high. */
-    private static final double LISTED_SHARE = 0.5;
-    /** Both give way to more refusals in a row: all floors may keep full what refused calls use up. */
-    private static final int FLOOR_REFUSALS = 2;
-    /** Idle for so long, a destination loses pace and counts (the design's figure). */
-    private static final double IDLE_MS = 60_000;
-
-    /** A told wait is kept, and a wake counts as come, within this much: clocks are rounded. */
-    private static final double CLOCK_MARGIN_MS = 1;
+    /** Least time-out of an unsafe attempt, as a share of the deadline: no other may follow if it may run. */
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
+    private static final double INITIAL_LATENCY_MS = 250; // assumed until an endpoint answers
+
+    // Pacing.
+    /** A refusal cuts the pacing rate by this factor; the first one, the rate of the last second's sends. */
+    private static final double RATE_CUT_FACTOR = 0.7;
+    /** A cut starts from at most this multiple of the recent send rate: an unused pacing rate only grows. */
+    private static final double MAX_SENT_RATE_MULTIPLE = 1.3;
+    /** Growth of the pacing rate per delivery: slow near the refused rate, until the cut is long past. */
+    private static final double RATE_GROWTH = 0.15;
+    private static final double RATE_SLOW_GROWTH = 0.03;
+    private static final double NEAR_REFUSED_SHARE = 0.9;
+    private static final double CUT_MEMORY_MS = 4000;
+    // Longest interval between calls after one refusal, where no rate is listed. Each further refusal
+    // multiplies it, up to a maximum, and deliveries undo that: two calls a second per sender are too many.
+    private static final double MAX_SEND_INTERVAL_MS = 500;
+    private static final double SEND_INTERVAL_GROWTH = 3;
+    private static final int MAX_INTERVAL_GROWTHS = 4;
+    /** Unused send time that a burst may make up for; all senders together burst this long at the limit. */
+    private static final double BURST_MS = 250;
+    private static final double MIN_RATE_DEMAND_SHARE = 0.2; // of the calls that this sender's messages need
+    private static final double LISTED_RATE_SHARE = 0.5; // of an even part; listed rates may be half too high
+    /** After more refusals in a row the least rates fall: refused calls may use up all capacity. */
+    private static final int MIN_RATE_REFUSALS = 2;
+    private static final double DESTINATION_IDLE_MS = 60_000; // without a send; then pacing starts anew
+
+    private static final double CLOCK_MARGIN_MS = 1; // of rounded clocks, for retry-afters and early wakes
 
     // Health.
-    /** Evidence, 0 to 1: each bad outcome closes this share of the gap to 1, each good one multiplies it. */
-    private static final double BAD_WEIGHT = 0.2;
+    /** Failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
+    private static final double FAILURE_WEIGHT = 0.2;
     private static final double UNREACHABLE_WEIGHT = 0.6;
-    private static final double GOOD_FACTOR = 0.6;
-    /** From here on an endpoint counts as down: five bad outcomes in a row, or a failed connect. */
-    private static final double DOWN_AT = 0.6;
-    /** Overdue calls without any answer since, after which an endpoint counts as silent. */
-    private static final int SILENT_CALLS = 2;
-    private static final double SILENT_DEVIATIONS = 4;
-    /** Bad ends or refusals in a row over so long, or in a backlog, without a delivery, mean shut or dead. */
-    private static final int SHUT_ENDS = 3;
-    private static final double SHUT_MS = 2500;
-    /** Pause between trials of what is down: least (times the senders at most); most, in warm-ups. */
-    private static final double TRIAL_LEAST_MS = 500;
-    private static final double TRIAL_MOST = 4;
-    /** Share of the rule's budget that a returning endpoint's ramp uses, and calls beside it, for chance. */
-    private static final double RAMP_SAFETY = 0.7;
-    private static final double RAMP_CHANCE = 2;
-    /** Time over which an endpoint's carried rate is averaged, and the shortest that counts. */
-    private static final double CARRIED_MS = 10_000;
-    /** Share of this sender's messages that a destination is trusted to carry, while it refuses none. */
-    private static final double DEMAND_SHARE = 0.7;
-    private static final double CARRIED_LEAST_MS = 2000;
+    private static final double SUCCESS_FACTOR = 0.6;
+    private static final double DOWN_SCORE = 0.6; // five failures in a row, or one failed connect
+    private static final int SILENT_CALLS = 2; // overdue, without any answer since
+    private static final double OVERDUE_DEVIATIONS = 4;
+    /** Failures or refusals without a delivery, over this time or among recovered messages, mean down. */
+    private static final int UNAVAILABLE_FAILURES = 3;
+    private static final double UNAVAILABLE_MS = 2500;
+    private static final double MIN_PROBE_INTERVAL_MS = 500; // and at most this times the senders
+    private static final double MAX_INTERVAL_WARM_UPS = 4; // longest interval of a slow start, in warm-ups
+    private static final double SLOW_START_BUDGET_SHARE = 0.7; // of the overload budget
+    private static final double SLOW_START_EXTRA_CALLS = 2; // above the budget, to allow for chance
+    private static final double RATE_PERIOD_MS = 10_000; // over which sends, demand and deliveries average
+    private static final double DEMAND_SHARE = 0.7; // trusted to a destination that refuses nothing
+    private static final double MIN_RATE_PERIOD_MS = 2000; // shorter counts as this
 
     // Connections.
-    /** The longest pause after a full connection table doubles with each in a row, up to so often. */
-    private static final int CONNECT_BACKOFFS = 5;
-    /** A connection without use for so long counts as idle. */
-    private static final double IDLE_LEAST_MS = 100;
-    /** Trust after a loss, as a share of the time that the connection had idled; forgotten after so long. */
-    private static final double TRUST_CUT = 0.25;
-    private static final double TRUST_MEMORY_MS = 30_000;
+    /** The longest back-off after a refused connection doubles with each in a row, up to this many times. */
+    private static final int CONNECT_DOUBLINGS = 5;
+    private static final double CONNECTION_IDLE_MS = 100; // without use, after which it counts as idle
+    /** Share of a lost connection's idle time beyond which others are not trusted, and for how long. */
+    private static final double TRUSTED_IDLE_SHARE = 0.25;
+    private static final double LOSS_MEMORY_MS = 30_000;
 
     // The queue.
-    /** Rank is the worth lost by waiting until the queue there is through, and so long at least. */
-    private static final double RANK_HORIZON_MS = 1500;
-    /** Weight of plain worth in the rank, to settle ties between messages that lose nothing yet. */
-    private static final double RANK_WORTH = 0.01;
-    /** Time worth a fee of one point: about what a message loses in worth when it waits so long. */
-    private static final double FEE_MS = 25_000;
-    /** A copy that is due while the list may be out of date is looked at again after this. */
-    private static final double COPY_RECHECK_MS = 10;
-    /** For a handover a message gives up no more than this share of its time. */
-    private static final double HANDOVER_SHARE = 0.25;
-    /** Time before the deadline at which a message that is not out is answered. */
-    private static final double ANSWER_MARGIN_MS = 5;
+    /** A message ranks by the worth that it loses until its destination's queue clears, or over this time. */
+    private static final double MIN_RANK_HORIZON_MS = 1500;
+    private static final double RANK_WORTH_WEIGHT = 0.01; // orders messages that lose no worth yet
+    private static final double FEE_POINT_MS = 25_000; // delay that costs about the worth of a fee of 1
+    private static final double HEDGE_RECHECK_MS = 10; // while the endpoint list may be out of date
+    /** A handover ends a message early by no more than this share of its class's deadline. */
+    private static final double HANDOVER_DEADLINE_SHARE = 0.25;
+    private static final double ANSWER_MARGIN_MS = 5; // before the deadline, if nothing is in flight
 
     private final Settings settings;
     private final Actions actions;
     private final Random random;
-    private final Map<Long, Target> targets = new LinkedHashMap<>();
-    /** Endpoints that operators leave out, whatever the list says. */
-    private final Set<Long> leftOut = new LinkedHashSet<>();
+    private final Map<Long, EndpointState> endpointsById = new LinkedHashMap<>();
+    private final Set<Long> inMaintenance = new LinkedHashSet<>(); // by operators, listed or not
     private final Map<Long, Destination> destinations = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new LinkedHashMap<>();
     private final Set<Delivery> queue = new LinkedHashSet<>();
-    private double clock = Double.NEGATIVE_INFINITY;
+    private double clock = Double.NEGATIVE_INFINITY; // time of the current event
     private final RecentEvents firstSends = new RecentEvents(() -> clock, THROTTLE_PERIOD_MS);
-    private final Throttle copies;
-    private final Throttle retries;
-    private final Connections connections = new Connections();
-    private final KeyOrder keys;
+    private final Throttle hedgeThrottle;
+    private final Throttle retryThrottle;
+    private final IdleConnectionTrust idleConnections = new IdleConnectionTrust();
+    private final KeyOrder keyOrder;
     private final Timers timers;
     private int slotsUsed;
     private long turn;
-    private double closesAt = Double.POSITIVE_INFINITY;
+    private double callsEndBy = Double.POSITIVE_INFINITY;
 
     DeliveryScheduler(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.timers = new Timers(CLOCK_MARGIN_MS, actions::wakeAt);
-        this.copies = throttle(COPY_BASE, COPY_SHARE);
-        this.retries = throttle(RETRY_BASE, RETRY_SHARE);
+        this.hedgeThrottle = newThrottle(HEDGE_BASE, HEDGE_SHARE);
+        this.retryThrottle = newThrottle(RETRY_BASE, RETRY_SHARE);
         this.random = new Random(seed);
-        this.keys = new KeyOrder(settings.keyRestMs(), () -> clock, timers);
+        this.keyOrder = new KeyOrder(settings.keyRestMs(), () -> clock, timers);
     }
 
-    private Throttle throttle(double base, double share) {
+    private Throttle newThrottle(double base, double share) {
         return new Throttle(base, share, THROTTLE_PERIOD_MS, () -> clock, firstSends, timers);
     }
 
-    // ---- events ----
-
     @Override
     public void endpoints(double now, boolean whole, List<Endpoint> entries) {
-        tick(now);
+        advanceClock(now);
         if (whole) {
-            targets.values().forEach(target -> target.serving = false);
+            endpointsById.values().forEach(endpoint -> endpoint.serving = false);
         }
         for (Endpoint entry : entries) {
-            Target target = target(entry);
-            target.serving = entry.serving();
-            target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
+            EndpointState endpoint = endpointFor(entry);
+            endpoint.serving = entry.serving();
+            endpoint.limiter.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
         }
     }
 
-    private Target target(Endpoint entry) {
-        return targets.computeIfAbsent(entry.id(), unknown -> {
-            Target target = new Target(entry,
-                    destinations.computeIfAbsent(entry.destination(), unlisted -> new Destination()));
-            target.leftOut = leftOut.contains(entry.id());
-            target.destination.targets.add(target);
-            return target;
+    private EndpointState endpointFor(Endpoint entry) {
+        return endpointsById.computeIfAbsent(entry.id(), unknownId -> {
+            EndpointState endpoint = new EndpointState(entry,
+                    destinations.computeIfAbsent(entry.destination(), unlistedId -> new Destination()));
+            endpoint.inMaintenance = inMaintenance.contains(entry.id());
+            endpoint.destination.members.add(endpoint);
+            return endpoint;
         });
     }
 
     @Override
     public Set<Long> open() {
-        return deliveries.values().stream().filter(d -> !d.ended).map(d -> d.message.id())
-                .collect(Collectors.toSet());
+        return deliveries.values().stream().filter(delivery -> !delivery.ended)
+                .map(delivery -> delivery.message.id()).collect(Collectors.toSet());
     }
 
     @Override
     public void handingOver(double now, double pauseMs) {
-        tick(now);
-        for (Delivery d : List.copyOf(queue)) {
-            if (d.deadline - clock <= Math.min(pauseMs, HANDOVER_SHARE * d.type.deadlineMs())) {
-                finish(d);
+        advanceClock(now);
+        for (Delivery delivery : List.copyOf(queue)) {
+            if (delivery.deadline - clock
+                    <= Math.min(pauseMs, HANDOVER_DEADLINE_SHARE * delivery.type.deadlineMs())) {
+                endUndelivered(delivery);
             }
         }
     }
 
     @Override
     public Snapshot memory(double now) {
-        tick(now);
+        advanceClock(now);
         Map<Call, Long> calls = new LinkedHashMap<>();
-        return new Snapshot(targets.values().stream().map(Target::memory).toList(),
-                deliveries.values().stream().map(d -> d.memory(calls)).toList(), keys.rests(),
-                firstSends.count(), copies.count(), retries.count());
+        return new Snapshot(endpointsById.values().stream().map(EndpointState::snapshot).toList(),
+                deliveries.values().stream().map(delivery -> delivery.snapshot(calls)).toList(),
+                keyOrder.quarantines(), firstSends.count(), hedgeThrottle.count(), retryThrottle.count());
     }
 
     @Override
-    public void remember(double now, double takenAt, Snapshot memory) {
-        tick(now);
-        memory.endpoints().forEach(e -> target(e.entry()).remember(e, takenAt));
-        firstSends.restore(memory.firstSends(), clock);
-        copies.restore(memory.copies(), clock);
-        retries.restore(memory.retries(), clock);
+    public void remember(double now, double takenAt, Snapshot snapshot) {
+        advanceClock(now);
+        snapshot.endpoints().forEach(e -> endpointFor(e.entry()).restore(e, takenAt));
+        firstSends.restore(snapshot.firstSends(), clock);
+        hedgeThrottle.restore(snapshot.copies(), clock);
+        retryThrottle.restore(snapshot.retries(), clock);
         Map<Long, Call> calls = new LinkedHashMap<>();
-        memory.keyRests().forEach((key, restIn) -> keys.remember(key, takenAt + restIn));
+        snapshot.keyRests().forEach((key, leftMs) -> keyOrder.restoreQuarantine(key, takenAt + leftMs));
         FaultCollector faults = new FaultCollector();
-        for (MessageSnapshot m : memory.messages()) {
-            if (!faults.collect(() -> remember(m, takenAt, calls))) {
-                Optional.ofNullable(deliveries.remove(m.message().id())).ifPresent(this::discard);
+        for (MessageSnapshot message : snapshot.messages()) {
+            if (!faults.collect(() -> restoreMessage(message, takenAt, calls))) {
+                Optional.ofNullable(deliveries.remove(message.message().id())).ifPresent(this::discard);
             }
         }
         faults.rethrow();
     }
 
-    /** What could not be remembered whole is not known here at all. */
-    private void discard(Delivery d) {
-        d.ended = true;
-        dequeue(d);
-        for (Attempt attempt : d.attempts) {
-            attempt.call.filter(call -> attempt.out).ifPresent(Call::itemLeft);
+    /** Undoes a partial restore: a message that can't be restored whole is not known at all. */
+    private void discard(Delivery delivery) {
+        delivery.ended = true;
+        dequeue(delivery);
+        for (Attempt attempt : delivery.attempts) {
+            attempt.call.filter(call -> attempt.inFlight).ifPresent(Call::removeMessage);
         }
-        keys.forget(d);
+        keyOrder.forget(delivery);
     }
 
-    /** A message comes back as it stood: a wave that is out runs on, and what waits waits as before. */
-    private void remember(MessageSnapshot m, double takenAt, Map<Long, Call> calls) {
-        Delivery d = new Delivery(m.message(), takenAt);
-        deliveries.put(m.message().id(), d);
-        d.notBefore = takenAt + m.notBeforeIn();
-        d.waves = m.waves();
-        d.refused = m.refused();
-        d.ended = m.ended();
-        d.unheard = m.unheard();
-        d.openCalls = m.openCalls();
-        if (!d.ended || d.unheard) {
-            keys.taken(d);
-        }
-        m.attempts().forEach(a -> d.attempts.add(new Attempt(d, a, takenAt, calls)));
-        for (int i = 0; i < d.callsOut(); i++) {
-            keys.attemptSent(d);
-        }
-        if (d.ended) {
+    /** Restores a message as it stood: attempts in flight continue, and a queued message is queued again. */
+    private void restoreMessage(MessageSnapshot snapshot, double takenAt, Map<Long, Call> calls) {
+        Delivery delivery = new Delivery(snapshot.message(), takenAt);
+        deliveries.put(snapshot.message().id(), delivery);
+        delivery.notBefore = takenAt + snapshot.notBeforeIn();
+        delivery.retryRounds = snapshot.waves();
+        delivery.lastRefused = snapshot.refused();
+        delivery.ended = snapshot.ended();
+        delivery.unacknowledged = snapshot.unheard();
+        delivery.openCalls = snapshot.openCalls();
+        if (!delivery.ended || delivery.unacknowledged) {
+            keyOrder.accepted(delivery);
+        }
+        snapshot.attempts().forEach(a -> delivery.attempts.add(new Attempt(delivery, a, takenAt, calls)));
+        for (int i = 0; i < delivery.callsInFlight(); i++) {
+            keyOrder.callStarted(delivery);
+        }
+        if (delivery.ended) {
             return;
         }
-        timers.add(d.deadline - ANSWER_MARGIN_MS, () -> finish(d));
-        timers.add(d.notBefore, () -> { });
-        if (d.out == 0) {
-            enqueue(d);
-            giveUpInTime(d);
+        timers.add(delivery.deadline - ANSWER_MARGIN_MS, () -> endUndelivered(delivery));
+        timers.add(delivery.notBefore, () -> { });
+        if (delivery.attemptsInFlight == 0) {
+            enqueue(delivery);
+            endIfNotRetryable(delivery);
         } else {
-            watchRemembered(d);
+            watchRestored(delivery);
         }
     }
 
-    /** One that is out while a later one was sent has had its copy, whether or not that is still out. */
-    private void watchRemembered(Delivery d) {
-        for (Attempt attempt : d.attempts) {
-            boolean hadCopy = d.out > 1 || attempt != d.attempts.get(d.attempts.size() - 1);
-            attempt.call.filter(call -> attempt.out).ifPresent(call -> watch(d, attempt, call, hadCopy));
+    /** An attempt that another one followed has had its hedge, whether or not that is still in flight. */
+    private void watchRestored(Delivery delivery) {
+        for (Attempt attempt : delivery.attempts) {
+            boolean hedged = delivery.attemptsInFlight > 1
+                    || attempt != delivery.attempts.get(delivery.attempts.size() - 1);
+            attempt.call.filter(call -> attempt.inFlight)
+                    .ifPresent(call -> watch(delivery, attempt, call, hedged));
         }
     }
 
     @Override
-    public void maintenance(double now, long endpoint, boolean out) {
-        tick(now);
-        boolean changed = out ? leftOut.add(endpoint) : leftOut.remove(endpoint);
-        Target target = targets.get(endpoint);
-        if (changed && target != null) {
-            target.maintained(out);
+    public void maintenance(double now, long endpointId, boolean out) {
+        advanceClock(now);
+        boolean changed = out ? inMaintenance.add(endpointId) : inMaintenance.remove(endpointId);
+        EndpointState endpoint = endpointsById.get(endpointId);
+        if (changed && endpoint != null) {
+            endpoint.setInMaintenance(out);
         }
     }
 
     @Override
-    public boolean avoids(long endpoint) {
-        Target target = targets.get(endpoint);
-        return leftOut.contains(endpoint) || target != null && target.state == State.DOWN;
+    public boolean avoids(long endpointId) {
+        EndpointState endpoint = endpointsById.get(endpointId);
+        return inMaintenance.contains(endpointId) || endpoint != null && endpoint.circuit == Circuit.DOWN;
     }
 
     @Override
     public void message(double now, Message message) {
-        tick(now);
-        take(message).destination.demand.count();
+        advanceClock(now);
+        accept(message).destination.demand.add();
     }
 
-    /** What is taken is kept as long as it can be; here its client may find room at another sender. */
+    /** An accepted message is kept as long as possible; a rejected one may find room at another sender. */
     @Override
     public OptionalDouble turnsAway(double now, Message message) {
-        tick(now);
-        Delivery d = new Delivery(message, clock);
-        if (clock < d.deadline - ANSWER_MARGIN_MS && !d.destination.hasNoTimeFor(d)) {
+        advanceClock(now);
+        Delivery delivery = new Delivery(message, clock);
+        if (clock < delivery.deadline - ANSWER_MARGIN_MS && !delivery.destination.queueOutlasts(delivery)) {
             return OptionalDouble.empty();
         }
-        d.destination.demand.count();
-        return OptionalDouble.of(d.destination.opensAt() - clock);
+        delivery.destination.demand.add();
+        return OptionalDouble.of(delivery.destination.nextCallAt() - clock);
     }
 
-    /** Demand is not counted: what comes back at once was asked for over a time that nobody knows. */
+    /** Adds no demand: recovered messages arrive at once, but were submitted over an unknown time. */
     @Override
     public void resumed(double now, Message message, List<EarlierAttempt> attempts) {
-        tick(now);
-        Delivery d = take(message);
+        advanceClock(now);
+        Delivery delivery = accept(message);
         for (EarlierAttempt earlier : attempts) {
-            d.attempts.add(new Attempt(Optional.ofNullable(targets.get(earlier.endpoint())), earlier));
+            delivery.attempts.add(
+                    new Attempt(Optional.ofNullable(endpointsById.get(earlier.endpoint())), earlier));
         }
-        if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
-            keys.rest(d);
+        if (delivery.attempts.stream().anyMatch(attempt -> attempt.mayHaveRun)) {
+            keyOrder.quarantine(delivery);
         }
-        giveUpInTime(d);
-        if (!d.ended) {
-            d.destination.resumed(d);
+        endIfNotRetryable(delivery);
+        if (!delivery.ended) {
+            delivery.destination.messageRecovered(delivery);
         }
     }
 
     @Override
     public void closing(double now, double end) {
-        tick(now);
-        closesAt = end;
+        advanceClock(now);
+        callsEndBy = end;
     }
 
-    private Delivery take(Message message) {
-        Delivery d = new Delivery(message, clock);
-        if (deliveries.putIfAbsent(message.id(), d) != null) {
-            throw new IllegalArgumentException("message " + message.id() + " was already taken");
+    private Delivery accept(Message message) {
+        Delivery delivery = new Delivery(message, clock);
+        if (deliveries.putIfAbsent(message.id(), delivery) != null) {
+            throw new IllegalArgumentException("message " + message.id() + " was already accepted");
         }
-        keys.taken(d);
-        enqueue(d);
-        timers.add(d.deadline - ANSWER_MARGIN_MS, () -> finish(d));
-        return d;
+        keyOrder.accepted(delivery);
+        enqueue(delivery);
+        timers.add(delivery.deadline - ANSWER_MARGIN_MS, () -> endUndelivered(delivery));
+        return delivery;
     }
 
     @Override
     public void attemptEnded(double now, AttemptEnd end) {
-        tick(now);
-        Delivery d = deliveries.get(end.message());
-        if (d == null || end.attempt() < 0 || end.attempt() >= d.attempts.size()) {
+        advanceClock(now);
+        Delivery delivery = deliveries.get(end.message());
+        if (delivery == null || end.attempt() < 0 || end.attempt() >= delivery.attempts.size()) {
             throw new IllegalArgumentException("unknown attempt " + end.attempt() + " of message "
                     + end.message());
         }
-        Attempt attempt = d.attempts.get(end.attempt());
-        if (!attempt.out) {
+        Attempt attempt = delivery.attempts.get(end.attempt());
+        if (!attempt.inFlight) {
             return;
         }
-        attempt.out = false;
+        attempt.inFlight = false;
         attempt.mayHaveRun = end.outcome().mayHaveRun();
-        d.refused = end.outcome().isRefusal();
-        d.out--;
-        attempt.call.ifPresent(call -> call.itemEnded(end));
+        delivery.lastRefused = end.outcome().isRefusal();
+        delivery.attemptsInFlight--;
+        attempt.call.ifPresent(call -> call.attemptEnded(end));
         if (end.open()) {
-            d.openCalls++;
+            delivery.openCalls++;
         } else {
-            keys.attemptEnded(d, end.outcome());
+            keyOrder.callEnded(delivery, end.outcome());
         }
         if (end.finished()) {
-            close(d);
+            endMessage(delivery);
         }
-        if (d.ended) {
-            forget(d);
-        } else if (d.out == 0) {
-            nextWave(d);
+        if (delivery.ended) {
+            removeIfDone(delivery);
+        } else if (delivery.attemptsInFlight == 0) {
+            scheduleRetryRound(delivery);
         }
     }
 
     @Override
-    public void waitTold(double now, long endpoint, double waitMs) {
-        tick(now);
-        Optional.ofNullable(targets.get(endpoint)).ifPresent(target -> target.limit.told(waitMs));
+    public void waitTold(double now, long endpointId, double waitMs) {
+        advanceClock(now);
+        Optional.ofNullable(endpointsById.get(endpointId)).ifPresent(e -> e.limiter.applyRetryAfter(waitMs));
     }
 
     @Override
     public boolean mayStart(double now, long message, int attempt) {
-        tick(now);
-        Delivery d = deliveries.get(message);
-        return d != null && !d.ended && d.attempts.get(attempt).target.filter(t -> t.takes()
-                && t.limit.waitUntil <= clock && mayRepeat(d, t, d.attempts.get(attempt))).isPresent();
+        advanceClock(now);
+        Delivery delivery = deliveries.get(message);
+        return delivery != null && !delivery.ended && delivery.attempts.get(attempt).endpoint
+                .filter(e -> e.isInService() && e.limiter.retryAfterUntil <= clock
+                        && mayRepeat(delivery, e, delivery.attempts.get(attempt))).isPresent();
     }
 
-    /** Until now the attempt could still run, so its key had to wait. */
+    /** Until the call closes its ended attempt can still run, so the key has to wait. */
     @Override
     public void callClosed(double now, long message) {
-        tick(now);
-        Delivery d = deliveries.get(message);
-        if (d == null || d.openCalls == 0) {
+        advanceClock(now);
+        Delivery delivery = deliveries.get(message);
+        if (delivery == null || delivery.openCalls == 0) {
             throw new IllegalArgumentException("no open call of message " + message);
         }
-        d.openCalls--;
-        keys.attemptEnded(d, Outcome.TIMED_OUT);
-        if (d.ended) {
-            forget(d);
+        delivery.openCalls--;
+        keyOrder.callEnded(delivery, Outcome.TIMED_OUT);
+        if (delivery.ended) {
+            removeIfDone(delivery);
         }
     }
 
     @Override
     public void unheard(double now, Message message) {
-        tick(now);
-        Delivery d = new Delivery(message, clock);
-        d.ended = true;
-        d.unheard = true;
-        deliveries.put(message.id(), d);
-        keys.taken(d);
+        advanceClock(now);
+        Delivery delivery = new Delivery(message, clock);
+        delivery.ended = true;
+        delivery.unacknowledged = true;
+        deliveries.put(message.id(), delivery);
+        keyOrder.accepted(delivery);
     }
 
     @Override
     public void heard(double now, long message) {
-        tick(now);
-        Optional.ofNullable(deliveries.get(message)).filter(d -> d.unheard).ifPresent(d -> {
-            d.unheard = false;
-            keys.ended(d);
-            forget(d);
+        advanceClock(now);
+        Optional.ofNullable(deliveries.get(message)).filter(d -> d.unacknowledged).ifPresent(delivery -> {
+            delivery.unacknowledged = false;
+            keyOrder.messageEnded(delivery);
+            removeIfDone(delivery);
         });
     }
 
     @Override
     public void withdrawn(double now, long message) {
-        tick(now);
-        Optional.ofNullable(deliveries.get(message)).ifPresent(this::close);
+        advanceClock(now);
+        Optional.ofNullable(deliveries.get(message)).ifPresent(this::endMessage);
     }
 
     @Override
     public void confirming(double now, long message) {
-        tick(now);
-        Optional.ofNullable(deliveries.get(message)).filter(d -> !d.ended).ifPresent(d -> {
-            d.unheard = true;
-            close(d);
+        advanceClock(now);
+        Optional.ofNullable(deliveries.get(message)).filter(d -> !d.ended).ifPresent(delivery -> {
+            delivery.unacknowledged = true;
+            endMessage(delivery);
         });
     }
 
     @Override
     public void wake(double now) {
-        tick(now);
+        advanceClock(now);
     }
 
     @Override
     public void endTurn(double now) {
-        tick(now);
+        advanceClock(now);
         FaultCollector faults = new FaultCollector();
         faults.collect(() -> timers.run(now));
         faults.collect(this::dispatch);
         turn++;
-        timers.ask(now, nextOpening());
+        timers.requestNextWake(now, nextCallTime());
         faults.rethrow();
     }
 
-    private void enqueue(Delivery d) {
-        d.destination.waiting += queue.add(d) ? 1 : 0;
+    private void enqueue(Delivery delivery) {
+        delivery.destination.queued += queue.add(delivery) ? 1 : 0;
     }
 
-    private void dequeue(Delivery d) {
-        d.destination.waiting -= queue.remove(d) ? 1 : 0;
+    private void dequeue(Delivery delivery) {
+        delivery.destination.queued -= queue.remove(delivery) ? 1 : 0;
     }
 
-    private void tick(double now) {
+    private void advanceClock(double now) {
         if (now < clock) {
             throw new IllegalArgumentException("the clock went back");
         }
         clock = now;
     }
 
-    // ---- decisions ----
-
-    /** Sends what waits, the most pressing first, as far as gates and slots allow. */
+    /** Sends queued messages in order of rank, as far as the eligibility checks and the slots allow. */
     private void dispatch() {
-        // A gate that is shut now stays so for this turn: looking behind one would cost most of a turn.
-        for (Destination at : destinations.values()) {
-            at.open = at.waiting > 0 && at.isOpen();
-            at.horizon = at.open ? Math.max(RANK_HORIZON_MS, at.waiting / at.pace()) : 0;
+        // A destination that can't take a call stays so for this turn: checking its messages would be costly.
+        for (Destination destination : destinations.values()) {
+            destination.eligible = destination.queued > 0 && destination.canTakeCall();
+            destination.rankHorizonMs = destination.eligible
+                    ? Math.max(MIN_RANK_HORIZON_MS, destination.queued / destination.messageRate()) : 0;
         }
         List<Delivery> ranked = new ArrayList<>();
-        for (Delivery d : queue) {
-            if (d.destination.open && d.notBefore <= clock && keys.mayGo(d)) {
-                d.rank = d.rank();
-                ranked.add(d);
+        for (Delivery delivery : queue) {
+            if (delivery.destination.eligible && delivery.notBefore <= clock && keyOrder.mayGo(delivery)) {
+                delivery.rank = delivery.rank();
+                ranked.add(delivery);
             }
         }
         if (ranked.isEmpty() || !actions.mayCall()) {
             return;
         }
-        ranked.sort(Comparator.comparingDouble((Delivery d) -> -d.rank).thenComparingDouble(d -> d.aimAt));
+        ranked.sort(Comparator.comparingDouble((Delivery d) -> -d.rank)
+                .thenComparingDouble(d -> d.latencyTargetAt));
         FaultCollector faults = new FaultCollector();
-        for (Delivery d : ranked) {
-            if (d.destination.open && !faults.collect(() -> sendWherePossible(d))) {
-                d.notBefore = clock + BACKOFF_MS;
-                timers.add(d.notBefore, () -> { });
+        for (Delivery delivery : ranked) {
+            if (delivery.destination.eligible && !faults.collect(() -> sendWherePossible(delivery))) {
+                delivery.notBefore = clock + FIRST_BACKOFF_MS;
+                timers.add(delivery.notBefore, () -> { });
             }
         }
         faults.rethrow();
     }
 
-    private void sendWherePossible(Delivery d) {
-        choose(d, false).ifPresent(target -> {
-            send(d, target, false);
-            d.destination.open = d.destination.isOpen();
+    private void sendWherePossible(Delivery delivery) {
+        chooseEndpoint(delivery, false).ifPresent(endpoint -> {
+            sendAttempt(delivery, endpoint, false);
+            delivery.destination.eligible = delivery.destination.canTakeCall();
         });
     }
 
-    /** The endpoint to send to among those that the gate lets pass; a copy goes elsewhere if it can. */
-    private Optional<Target> choose(Delivery d, boolean copy) {
-        Target best = null;
-        boolean elsewhere = copy && d.destination.targets.stream().anyMatch(t -> t.takes() && !d.isOutAt(t));
-        for (Target target : d.destination.targets) {
-            boolean passed = elsewhere && d.isOutAt(target) || copy && target.state == State.DOWN;
-            if (!passed && maySend(d, target) && (best == null || target.cost(d) < best.cost(d))) {
-                best = target;
+    /** The cheapest endpoint that passes {@link #maySend}; a hedge goes to another one than its message. */
+    private Optional<EndpointState> chooseEndpoint(Delivery delivery, boolean hedge) {
+        EndpointState best = null;
+        boolean elsewhere = hedge && delivery.destination.members.stream()
+                .anyMatch(e -> e.isInService() && !delivery.isInFlightAt(e));
+        for (EndpointState endpoint : delivery.destination.members) {
+            boolean skipped = elsewhere && delivery.isInFlightAt(endpoint)
+                    || hedge && endpoint.circuit == Circuit.DOWN;
+            if (!skipped && maySend(delivery, endpoint)
+                    && (best == null || endpoint.cost(delivery) < best.cost(delivery))) {
+                best = endpoint;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    /** The gate that every send passes: first send, copy and new wave. */
-    private boolean maySend(Delivery d, Target target) {
-        return !d.ended && target.isOpen()
-                && clock < d.deadline - ANSWER_MARGIN_MS
-                && d.attempts.size() < settings.maxAttempts()
-                && mayRepeat(d, target, null)
-                && keys.mayGo(d)
-                && (!d.refused || d.out > 0 || retries.allows())
-                && clock + target.expectedEnd(d.type) <= closesAt;
+    /** The eligibility checks of every send: first send, hedge and retry round. */
+    private boolean maySend(Delivery delivery, EndpointState endpoint) {
+        return !delivery.ended && endpoint.canTakeCall() && clock < delivery.deadline - ANSWER_MARGIN_MS
+                && delivery.attempts.size() < settings.maxAttempts()
+                && mayRepeat(delivery, endpoint, null)
+                && keyOrder.mayGo(delivery)
+                && (!delivery.lastRefused || delivery.attemptsInFlight > 0 || retryThrottle.allows())
+                && clock + endpoint.expectedCallMs(delivery.type) <= callsEndBy;
     }
 
-    /** Whether an attempt, made or next (null), there or anywhere (null), can be no second effect. */
-    private boolean mayRepeat(Delivery d, Target target, Attempt made) {
-        for (Attempt earlier : d.attempts) {
-            if (earlier == made || !earlier.out && !earlier.mayHaveRun) {
+    /** Whether the attempt (null: the next one) at the endpoint (null: any) can't cause a second effect. */
+    private boolean mayRepeat(Delivery delivery, EndpointState endpoint, Attempt attempt) {
+        for (Attempt earlier : delivery.attempts) {
+            if (earlier == attempt || !earlier.inFlight && !earlier.mayHaveRun) {
                 continue;
             }
-            if (earlier.out && !settings.copies() || d.type.effect() == Effect.UNSAFE) {
+            if (earlier.inFlight && !settings.copies() || delivery.type.effect() == Effect.UNSAFE) {
                 return false;
             }
-            if (d.type.effect() == Effect.KEYED
-                    && (clock > earlier.sentAt + d.type.windowMs() - WINDOW_MARGIN_MS
-                    || d.type.sameZone() && target != null && earlier.target
-                            .filter(t -> t.entry.zone() == target.entry.zone()).isEmpty())) {
+            if (delivery.type.effect() == Effect.KEYED
+                    && (clock > earlier.sentAt + delivery.type.windowMs() - WINDOW_MARGIN_MS
+                    || delivery.type.sameZone() && endpoint != null && earlier.endpoint
+                            .filter(e -> e.entry.zone() == endpoint.entry.zone()).isEmpty())) {
                 return false;
             }
         }
         return true;
     }
 
-    private void send(Delivery d, Target target, boolean copy) {
-        Call call = target.joinOrStart();
+    private void sendAttempt(Delivery delivery, EndpointState endpoint, boolean hedge) {
+        Call call = endpoint.joinOrStartCall();
         Attempt attempt = new Attempt(call);
-        d.attempts.add(attempt);
-        d.out++;
-        dequeue(d);
-        keys.attemptSent(d);
-        if (copy) {
-            copies.sent();
-        } else if (d.attempts.size() == 1) {
+        delivery.attempts.add(attempt);
+        delivery.attemptsInFlight++;
+        dequeue(delivery);
+        keyOrder.callStarted(delivery);
+        if (hedge) {
+            hedgeThrottle.sent();
+        } else if (delivery.attempts.size() == 1) {
             firstSends.add();
-        } else if (d.refused) {
-            retries.sent();
+        } else if (delivery.lastRefused) {
+            retryThrottle.sent();
         }
-        double timeout = Math.min(target.timeout(d.type), d.deadline - clock);
-        actions.send(d.message.id(), target.entry.id(), timeout);
-        watch(d, attempt, call, copy);
+        double timeoutMs = Math.min(endpoint.timeoutMs(delivery.type), delivery.deadline - clock);
+        actions.send(delivery.message.id(), endpoint.entry.id(), timeoutMs);
+        watch(delivery, attempt, call, hedge);
     }
 
-    private void watch(Delivery d, Attempt attempt, Call call, boolean copy) {
-        double offset = d.type.aimMs() * COPY_OFFSET;
-        timers.add(attempt.sentAt + offset, () -> offsetPassed(d, attempt, copy));
-        timers.add(attempt.sentAt + Math.max(offset, call.target.patience()), call::overdue);
+    private void watch(Delivery delivery, Attempt attempt, Call call, boolean hedged) {
+        double delayMs = delivery.type.aimMs() * HEDGE_DELAY_SHARE;
+        timers.add(attempt.sentAt + delayMs, () -> hedgeDelayPassed(delivery, attempt, hedged));
+        timers.add(attempt.sentAt + Math.max(delayMs, call.endpoint.overdueAfterMs()), call::checkOverdue);
     }
 
-    /** The scheduled offset after a send: a copy may join the wave. */
-    private void offsetPassed(Delivery d, Attempt attempt, boolean copy) {
-        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.copies() && !copy;
-        if (!races || d.ended || slotsUsed >= settings.slots() || !copies.allows()) {
+    /** Sends a hedge if the attempt is still in flight and neither a hedge itself nor hedged already. */
+    private void hedgeDelayPassed(Delivery delivery, Attempt attempt, boolean hedged) {
+        boolean mayHedge = attempt.inFlight && delivery.type.effect() != Effect.UNSAFE
+                && settings.copies() && !hedged;
+        if (!mayHedge || delivery.ended || slotsUsed >= settings.slots() || !hedgeThrottle.allows()) {
             return;
         }
-        Optional<Target> target = choose(d, true);
-        if (target.isPresent() && actions.mayCall()) {
-            send(d, target.get(), true);
-        } else if (target.isPresent()) {
-            timers.add(clock + COPY_RECHECK_MS, () -> offsetPassed(d, attempt, copy));
+        Optional<EndpointState> endpoint = chooseEndpoint(delivery, true);
+        if (endpoint.isPresent() && actions.mayCall()) {
+            sendAttempt(delivery, endpoint.get(), true);
+        } else if (endpoint.isPresent()) {
+            timers.add(clock + HEDGE_RECHECK_MS, () -> hedgeDelayPassed(delivery, attempt, hedged));
         }
     }
 
-    /** Every attempt has ended retryable: wait for a new wave, unless no further attempt can be allowed. */
-    private void nextWave(Delivery d) {
-        giveUpInTime(d);
-        if (d.ended) {
+    /** After all attempts ended undelivered: queues a retry round, unless no attempt can be allowed. */
+    private void scheduleRetryRound(Delivery delivery) {
+        endIfNotRetryable(delivery);
+        if (delivery.ended) {
             return;
         }
-        double backoff = BACKOFF_MS * Math.pow(BACKOFF_GROWTH, d.waves) * (0.75 + 0.5 * random.nextDouble());
-        d.notBefore = clock + Math.min(backoff, (d.deadline - clock) / 2);
-        d.waves++;
-        enqueue(d);
-        timers.add(d.notBefore, () -> { });
+        double backoffMs = FIRST_BACKOFF_MS * Math.pow(BACKOFF_GROWTH, delivery.retryRounds)
+                * (0.75 + 0.5 * random.nextDouble());
+        delivery.notBefore = clock + Math.min(backoffMs, (delivery.deadline - clock) / 2);
+        delivery.retryRounds++;
+        enqueue(delivery);
+        timers.add(delivery.notBefore, () -> { });
     }
 
-    /** Answers at once what no further attempt can be allowed for: now, or when a keyed window has passed. */
-    private void giveUpInTime(Delivery d) {
-        List<Target> known = d.destination.targets;
-        if (d.attempts.size() >= settings.maxAttempts() || clock >= d.deadline - ANSWER_MARGIN_MS
-                || known.stream().noneMatch(t -> mayRepeat(d, t, null))
-                && !(known.isEmpty() && mayRepeat(d, null, null))) {
-            finish(d);
-        } else if (d.type.effect() == Effect.KEYED) {
-            d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
-                    timers.add(first + d.type.windowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS,
-                            () -> giveUpInTime(d)));
+    /** Ends a message that may get no further attempt: now, or once its keyed window has passed. */
+    private void endIfNotRetryable(Delivery delivery) {
+        List<EndpointState> known = delivery.destination.members;
+        if (delivery.attempts.size() >= settings.maxAttempts()
+                || clock >= delivery.deadline - ANSWER_MARGIN_MS
+                || known.stream().noneMatch(e -> mayRepeat(delivery, e, null))
+                && !(known.isEmpty() && mayRepeat(delivery, null, null))) {
+            endUndelivered(delivery);
+        } else if (delivery.type.effect() == Effect.KEYED) {
+            delivery.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min()
+                    .ifPresent(firstSentAt -> timers.add(firstSentAt + delivery.type.windowMs()
+                            - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS, () -> endIfNotRetryable(delivery)));
         }
     }
 
-    /** The final answer of what waits undelivered: refused where trying again is harmless, else failed. */
-    private void finish(Delivery d) {
-        if (d.ended || d.out > 0) {
+    /** Gives the final answer of an undelivered message: refused where a retry is harmless, else failed. */
+    private void endUndelivered(Delivery delivery) {
+        if (delivery.ended || delivery.attemptsInFlight > 0) {
             return;
         }
-        boolean repeatable = d.type.effect() == Effect.SAFE
-                || d.type.effect() == Effect.KEYED && !d.type.sameZone();
-        boolean harmless = repeatable || d.attempts.stream().noneMatch(a -> a.out || a.mayHaveRun);
-        d.unheard = !(harmless ? actions.refuse(d.message.id(), d.destination.opensAt() - clock)
-                : actions.fail(d.message.id()));
-        close(d);
+        boolean repeatable = delivery.type.effect() == Effect.SAFE
+                || delivery.type.effect() == Effect.KEYED && !delivery.type.sameZone();
+        boolean harmless = repeatable
+                || delivery.attempts.stream().noneMatch(attempt -> attempt.inFlight || attempt.mayHaveRun);
+        delivery.unacknowledged = !(harmless
+                ? actions.refuse(delivery.message.id(), delivery.destination.nextCallAt() - clock)
+                : actions.fail(delivery.message.id()));
+        endMessage(delivery);
     }
 
-    /** Ends a message and cancels what is redundant. */
-    private void close(Delivery d) {
-        if (d.ended) {
+    /** Ends a message and cancels its attempts in flight. */
+    private void endMessage(Delivery delivery) {
+        if (delivery.ended) {
             return;
         }
-        d.ended = true;
-        dequeue(d);
-        if (!d.unheard) {
-            keys.ended(d);
+        delivery.ended = true;
+        dequeue(delivery);
+        if (!delivery.unacknowledged) {
+            keyOrder.messageEnded(delivery);
         }
-        for (int i = 0; i < d.attempts.size(); i++) {
-            if (d.attempts.get(i).out && settings.cancels()) {
-                actions.cancel(d.message.id(), i);
+        for (int i = 0; i < delivery.attempts.size(); i++) {
+            if (delivery.attempts.get(i).inFlight && settings.cancels()) {
+                actions.cancel(delivery.message.id(), i);
             }
         }
-        forget(d);
+        removeIfDone(delivery);
     }
 
-    private void forget(Delivery d) {
-        if (d.out == 0 && d.openCalls == 0 && !d.unheard) {
-            deliveries.remove(d.message.id());
+    private void removeIfDone(Delivery delivery) {
+        if (delivery.attemptsInFlight == 0 && delivery.openCalls == 0 && !delivery.unacknowledged) {
+            deliveries.remove(delivery.message.id());
         }
     }
 
-    /** When the next gate opens by time alone for a message that waits. */
-    private double nextOpening() {
-        return destinations.values().stream().filter(destination -> destination.waiting > 0)
-                .flatMapToDouble(destination -> destination.openings().filter(at -> at > clock)).min()
+    /** The next time at which the passing of time alone allows a call for a queued message. */
+    private double nextCallTime() {
+        return destinations.values().stream().filter(d -> d.queued > 0)
+                .flatMapToDouble(d -> d.nextCallTimes().filter(time -> time > clock)).min()
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
-    // ---- parts ----
-
-    /** A message and its wave. */
+    /** A message and its round. */
     private final class Delivery implements KeyOrder.Item {
         final Message message;
         final MessageClass type;
         final Destination destination;
-        final double aimAt;
+        final double latencyTargetAt;
         final double deadline;
         final List<Attempt> attempts = new ArrayList<>();
         double notBefore = Double.NEGATIVE_INFINITY;
         double rank;
-        int waves;
-        boolean refused;
-        int out;
-        /** Attempts that have ended, but whose call is still out for others. */
-        int openCalls;
+        int retryRounds;
+        boolean lastRefused; // its latest end of an attempt was a refusal
+        int attemptsInFlight;
+        int openCalls; // with ended attempts of it, still in flight for other messages
         boolean ended;
-        /** Ended by an answer that nobody has heard yet, until when its key waits. */
-        boolean unheard;
-        /** An earlier life took it and never called for it. */
-        boolean pressing;
+        boolean unacknowledged; // ended by an answer that is not acknowledged; its key waits until it is
+        boolean expedited; // recovered, unattempted, and now due ahead of the pacing rate
 
         Delivery(Message message, double at) {
             if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
@@ -697,14 +679,14 @@
             this.type = settings.classes().get(message.messageClass());
             this.destination = destinations.computeIfAbsent(message.destination(), id -> new Destination());
             this.deadline = at + message.timeLeftMs();
-            this.aimAt = deadline - type.deadlineMs() + type.aimMs();
+            this.latencyTargetAt = deadline - type.deadlineMs() + type.aimMs();
         }
 
-        MessageSnapshot memory(Map<Call, Long> calls) {
-            Message left = new Message(message.id(), message.messageClass(), message.tenant(), message.key(),
-                    deadline - clock, message.destination());
-            return new MessageSnapshot(left, notBefore - clock, waves, refused, ended, unheard, openCalls,
-                    attempts.stream().map(a -> a.memory(calls)).toList());
+        MessageSnapshot snapshot(Map<Call, Long> calls) {
+            Message remaining = new Message(message.id(), message.messageClass(), message.tenant(),
+                    message.key(), deadline - clock, message.destination());
+            return new MessageSnapshot(remaining, notBefore - clock, retryRounds, lastRefused, ended,
+                    unacknowledged, openCalls, attempts.stream().map(a -> a.snapshot(calls)).toList());
         }
 
         @Override
@@ -713,616 +695,631 @@
         }
 
         @Override
-        public int callsOut() {
-            return out + openCalls;
+        public int callsInFlight() {
+            return attemptsInFlight + openCalls;
         }
 
-        boolean isOutAt(Target target) {
-            return attempts.stream().anyMatch(a -> a.out && a.target.filter(t -> t == target).isPresent());
+        boolean isInFlightAt(EndpointState endpoint) {
+            return attempts.stream()
+                    .anyMatch(a -> a.inFlight && a.endpoint.filter(e -> e == endpoint).isPresent());
         }
 
-        /** Worth when delivered at that time. */
+        /** Worth if delivered at this time. */
         double worthAt(double time) {
-            return time > deadline ? 0 : type.worthWhenLate(Math.max(0, time - aimAt), settings.decay());
+            return time > deadline ? 0
+                    : type.worthWhenLate(Math.max(0, time - latencyTargetAt), settings.decay());
         }
 
         double rank() {
             double worth = worthAt(clock);
-            return pressing && attempts.isEmpty() ? Double.POSITIVE_INFINITY
-                    : worth - worthAt(clock + destination.horizon) + RANK_WORTH * worth;
+            return expedited && attempts.isEmpty() ? Double.POSITIVE_INFINITY
+                    : worth - worthAt(clock + destination.rankHorizonMs) + RANK_WORTH_WEIGHT * worth;
         }
     }
 
-    /** One attempt of a message; one of an earlier life has no call, and its endpoint may be gone. */
+    /** An attempt; one from before a restart has no call, and its endpoint may be unknown. */
     private final class Attempt {
         final Optional<Call> call;
-        final Optional<Target> target;
+        final Optional<EndpointState> endpoint;
         final double sentAt;
-        boolean out;
+        boolean inFlight;
         boolean mayHaveRun;
 
         Attempt(Call call) {
             this.call = Optional.of(call);
-            this.target = Optional.of(call.target);
+            this.endpoint = Optional.of(call.endpoint);
             this.sentAt = call.sentAt;
-            this.out = true;
+            this.inFlight = true;
         }
 
-        Attempt(Optional<Target> target, EarlierAttempt earlier) {
+        Attempt(Optional<EndpointState> endpoint, EarlierAttempt earlier) {
             this.call = Optional.empty();
-            this.target = target;
+            this.endpoint = endpoint;
             this.sentAt = earlier.sentAt();
             this.mayHaveRun = earlier.mayHaveRun();
         }
 
-        /** One that another process made: if it is out, it holds a slot with the others of its call. */
-        Attempt(Delivery d, AttemptSnapshot m, double takenAt, Map<Long, Call> calls) {
-            this.target = Optional.ofNullable(targets.get(m.endpoint()));
-            this.sentAt = takenAt + m.sentIn();
-            this.mayHaveRun = m.mayHaveRun();
-            this.out = m.out();
-            // Of no turn of this process: no message joins it any more.
-            this.call = target.filter(t -> out)
-                    .map(t -> calls.computeIfAbsent(m.call(), c -> new Call(t, sentAt, -1, 0)));
+        /** An attempt of the predecessor; while in flight it shares a slot with the others of its call. */
+        Attempt(Delivery delivery, AttemptSnapshot snapshot, double takenAt, Map<Long, Call> calls) {
+            this.endpoint = Optional.ofNullable(endpointsById.get(snapshot.endpoint()));
+            this.sentAt = takenAt + snapshot.sentIn();
+            this.mayHaveRun = snapshot.mayHaveRun();
+            this.inFlight = snapshot.out();
+            // The call belongs to no turn of this process (-1), so that no further message joins it.
+            this.call = endpoint.filter(e -> inFlight)
+                    .map(e -> calls.computeIfAbsent(snapshot.call(), number -> new Call(e, sentAt, -1, 0)));
             call.ifPresent(c -> {
-                d.out++;
-                c.items++;
-                c.itemsOut++;
+                delivery.attemptsInFlight++;
+                c.messages++;
+                c.messagesInFlight++;
             });
         }
 
-        AttemptSnapshot memory(Map<Call, Long> calls) {
-            return new AttemptSnapshot(target.map(t -> t.entry.id()).orElse(-1L), sentAt - clock, mayHaveRun,
-                    out, call.filter(c -> out).map(c -> calls.computeIfAbsent(c, x -> (long) calls.size()))
-                            .orElse(-1L));
+        AttemptSnapshot snapshot(Map<Call, Long> calls) {
+            return new AttemptSnapshot(endpoint.map(e -> e.entry.id()).orElse(-1L), sentAt - clock,
+                    mayHaveRun, inFlight, call.filter(c -> inFlight)
+                            .map(c -> calls.computeIfAbsent(c, unseen -> (long) calls.size())).orElse(-1L));
         }
 
     }
 
-    /** Messages that travel as one: one slot, one fate. */
+    /** One request: its messages share a slot and the outcome that counts for the endpoint's health. */
     private final class Call {
-        final Target target;
+        final EndpointState endpoint;
         final double sentAt;
         final long sentTurn;
-        final double idledMs;
-        int items;
-        int itemsOut;
+        final double idleMs; // of its connection, before the call
+        int messages;
+        int messagesInFlight;
         boolean observed;
-        boolean late;
+        boolean overdue;
 
-        Call(Target target) {
-            this(target, clock, turn, connections.take(target));
-            target.usedAt = clock;
+        Call(EndpointState endpoint) {
+            this(endpoint, clock, turn, idleConnections.take(endpoint));
+            endpoint.lastUsedAt = clock;
         }
 
-        Call(Target target, double sentAt, long sentTurn, double idledMs) {
-            this.target = target;
+        Call(EndpointState endpoint, double sentAt, long sentTurn, double idleMs) {
+            this.endpoint = endpoint;
             this.sentAt = sentAt;
             this.sentTurn = sentTurn;
-            this.idledMs = idledMs;
+            this.idleMs = idleMs;
             slotsUsed++;
-            target.out++;
-            target.destination.out++;
+            endpoint.callsInFlight++;
+            endpoint.destination.callsInFlight++;
         }
 
-        void itemEnded(AttemptEnd end) {
-            target.limit.told(end.waitMs());
+        void attemptEnded(AttemptEnd end) {
+            endpoint.limiter.applyRetryAfter(end.waitMs());
             if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
                 observed = true;
-                target.observe(this, end);
+                endpoint.observe(this, end);
             }
-            target.usedAt = clock;
-            itemLeft();
+            endpoint.lastUsedAt = clock;
+            removeMessage();
         }
 
-        void itemLeft() {
-            itemsOut--;
-            if (itemsOut == 0) {
+        void removeMessage() {
+            messagesInFlight--;
+            if (messagesInFlight == 0) {
                 slotsUsed--;
-                target.out--;
-                target.destination.out--;
+                endpoint.callsInFlight--;
+                endpoint.destination.callsInFlight--;
             }
         }
 
-        void overdue() {
-            if (!late && !observed && itemsOut > 0) {
-                late = true;
-                target.overdue(this);
+        void checkOverdue() {
+            if (!overdue && !observed && messagesInFlight > 0) {
+                overdue = true;
+                endpoint.callOverdue(this);
             }
         }
     }
 
     /** A destination: its endpoints and, where they share one, its limit. */
     private final class Destination {
-        final List<Target> targets = new ArrayList<>();
-        final Limit shared = new Limit(this);
-        final Rate demand = new Rate(() -> clock, CARRIED_MS, CARRIED_LEAST_MS);
-        int out;
-        /** Its messages in the queue. */
-        int waiting;
-        /** Of use within {@link #dispatch} only: something may go there yet, in this turn; see the method. */
-        boolean open;
-        double horizon;
-        int backlog;
+        final List<EndpointState> members = new ArrayList<>(); // its endpoints
+        final RateLimiter sharedLimiter = new RateLimiter(this);
+        final Rate demand = new Rate(() -> clock, RATE_PERIOD_MS, MIN_RATE_PERIOD_MS);
+        int callsInFlight;
+        int queued;
+        boolean eligible; // within dispatch(): whether it can still take a call in this turn
+        double rankHorizonMs;
+        int recovered;
         int troubled;
 
-        /**
-         * Where most of what an earlier life left was refused or repeated, trials come first: after a restart
-         * in an outage all would go at once to what may just be coming back cold. What was never called for
-         * goes once ahead of the pace, in the first half of its time, not all of it at one moment.
-         */
-        void resumed(Delivery d) {
-            boolean untried = d.attempts.isEmpty();
-            backlog++;
-            troubled += d.attempts.size() > 1 || !untried && !d.attempts.get(0).mayHaveRun ? 1 : 0;
+        /** Prepares for a recovered message: detects an outage, and expedites what is unattempted. */
+        void messageRecovered(Delivery delivery) {
+            boolean unattempted = delivery.attempts.isEmpty();
+            recovered++;
+            troubled += delivery.attempts.size() > 1
+                    || !unattempted && !delivery.attempts.get(0).mayHaveRun ? 1 : 0;
+            // After a restart in an outage all would go at once to endpoints that may just come back cold:
+            // where most messages were refused or repeated, probes come first.
             timers.add(clock, () -> {
-                if (troubled >= SHUT_ENDS && 2 * troubled > backlog) {
-                    targets.forEach(target -> target.down("had trouble before the restart"));
+                if (troubled >= UNAVAILABLE_FAILURES && 2 * troubled > recovered) {
+                    members.forEach(endpoint -> endpoint.markDown("had trouble before the restart"));
                 }
             });
-            if (untried) {
-                timers.add(clock + random.nextDouble() * d.message.timeLeftMs() / 2, () -> press(d));
+            // Each goes ahead of the pacing rate, spread at random over the first half of its time left.
+            if (unattempted) {
+                timers.add(clock + random.nextDouble() * delivery.message.timeLeftMs() / 2,
+                        () -> expedite(delivery));
             }
         }
 
-        private void press(Delivery d) {
-            d.pressing = !d.ended && d.attempts.isEmpty();
-            if (d.pressing && keys.mayGo(d)) {
-                targets.forEach(t -> t.limit.nextAt = Math.min(t.limit.nextAt, clock));
-            } else if (d.pressing) {
-                timers.add(clock + BACKOFF_MS, () -> press(d));
+        private void expedite(Delivery delivery) {
+            delivery.expedited = !delivery.ended && delivery.attempts.isEmpty();
+            if (delivery.expedited && keyOrder.mayGo(delivery)) {
+                members.forEach(e -> e.limiter.nextCallAt = Math.min(e.limiter.nextCallAt, clock));
+            } else if (delivery.expedited) {
+                timers.add(clock + FIRST_BACKOFF_MS, () -> expedite(delivery));
             }
         }
 
-        boolean isOpen() {
-            return targets.stream().anyMatch(Target::isOpen);
+        boolean canTakeCall() {
+            return members.stream().anyMatch(EndpointState::canTakeCall);
         }
 
-        /** Messages a millisecond, as the paces stand; without end where one of them is unbounded. */
-        double pace() {
-            return targets.stream().filter(Target::takes)
-                    .mapToDouble(t -> t.limit.rate * t.limit.messagesACall()).sum() / targets.size();
+        /** Messages per millisecond at the current pacing rates; infinite where one of them is unbounded. */
+        double messageRate() {
+            return members.stream().filter(EndpointState::isInService)
+                    .mapToDouble(e -> e.limiter.pacingRate * e.limiter.messagesPerCall()).sum()
+                    / members.size();
         }
 
-        /** Whether what waits already and is worth as much outlasts a message, though the paces may grow. */
-        boolean hasNoTimeFor(Delivery d) {
-            long ahead = queue.stream().filter(o -> o.destination == this && o.type.worth() >= d.type.worth())
-                    .count();
-            double through = (1 - Math.pow(1 + PACE_PROBE, -ahead)) / PACE_PROBE / pace();
-            return pace() > 0 && targets.stream().allMatch(t -> t.state == State.UP)
-                    && opensAt() + through > d.deadline;
+        /** Whether queued messages of at least equal worth take until its deadline, even at growing rates. */
+        boolean queueOutlasts(Delivery delivery) {
+            long ahead = queue.stream().filter(other -> other.destination == this
+                    && other.type.worth() >= delivery.type.worth()).count();
+            double clearMs = (1 - Math.pow(1 + RATE_SLOW_GROWTH, -ahead)) / RATE_SLOW_GROWTH / messageRate();
+            return messageRate() > 0 && members.stream().allMatch(e -> e.circuit == Circuit.UP)
+                    && nextCallAt() + clearMs > delivery.deadline;
         }
 
-        /** When the gates of its endpoints open, as far as time alone opens them. */
-        DoubleStream openings() {
-            return targets.stream().filter(Target::takes)
-                    .mapToDouble(t -> Math.max(t.limit.waitUntil, t.opensAt()));
+        /** When each of its endpoints may be called, as far as this depends on time alone. */
+        DoubleStream nextCallTimes() {
+            return members.stream().filter(EndpointState::isInService)
+                    .mapToDouble(e -> Math.max(e.limiter.retryAfterUntil, e.nextCallAllowedAt()));
         }
 
-        /** When the first of them opens, or now where none is known. */
-        double opensAt() {
-            return Math.max(clock, openings().min().orElse(clock));
+        /** When the first of them may be called; now where no endpoint is in service. */
+        double nextCallAt() {
+            return Math.max(clock, nextCallTimes().min().orElse(clock));
         }
 
     }
 
-    /** The pace and told wait of what shares one limit. Guards against refusals and broken waits. */
-    private final class Limit {
-        final Rate sends = new Rate(() -> clock, CARRIED_MS, CARRIED_LEAST_MS);
-        final RecentEvents lastSecond = new RecentEvents(() -> clock, 1000);
+    /** Pacing rate and retry-after of one limit; prevents refusals, and calls before a retry-after ends. */
+    private final class RateLimiter {
+        final Rate sendRate = new Rate(() -> clock, RATE_PERIOD_MS, MIN_RATE_PERIOD_MS);
+        final RecentEvents sendsLastSecond = new RecentEvents(() -> clock, 1000);
         final Destination destination;
-        int pressed;
-        int inRow;
+        int intervalGrowths; // refusals less deliveries since, within bounds
+        int refusalsInRow;
         double listedRate;
-        double rate = Double.POSITIVE_INFINITY;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double waitUntil = Double.NEGATIVE_INFINITY;
-        double edge;
-        double rateLastGood;
-        double cutAt = Double.NEGATIVE_INFINITY;
-
-        Limit(Destination destination) {
+        double pacingRate = Double.POSITIVE_INFINITY;
+        double nextCallAt = Double.NEGATIVE_INFINITY;
+        double retryAfterUntil = Double.NEGATIVE_INFINITY;
+        double refusedRate; // rate at the last refusal or at the first send; 0 before the first send
+        double rateAtLastDelivery;
+        double lastCutAt = Double.NEGATIVE_INFINITY;
+
+        RateLimiter(Destination destination) {
             this.destination = destination;
         }
 
-        LimitSnapshot memory() {
-            return new LimitSnapshot(pressed, lastSecond.count(), rate, edge, nextAt - clock,
-                    waitUntil - clock, cutAt - clock, sends.memory());
+        LimitSnapshot snapshot() {
+            return new LimitSnapshot(intervalGrowths, sendsLastSecond.count(), pacingRate, refusedRate,
+                    nextCallAt - clock, retryAfterUntil - clock, lastCutAt - clock, sendRate.snapshot());
         }
 
-        void remember(LimitSnapshot m, double takenAt) {
-            pressed = m.pressed();
-            lastSecond.restore(m.lastSecond(), takenAt);
-            rate = m.rate();
-            edge = m.edge();
-            nextAt = takenAt + m.nextIn();
-            waitUntil = takenAt + m.waitIn();
-            cutAt = takenAt + m.cutIn();
-            sends.remember(m.sends());
+        void restore(LimitSnapshot snapshot, double takenAt) {
+            intervalGrowths = snapshot.pressed();
+            sendsLastSecond.restore(snapshot.lastSecond(), takenAt);
+            pacingRate = snapshot.rate();
+            refusedRate = snapshot.edge();
+            nextCallAt = takenAt + snapshot.nextIn();
+            retryAfterUntil = takenAt + snapshot.waitIn();
+            lastCutAt = takenAt + snapshot.cutIn();
+            sendRate.restore(snapshot.sends());
         }
 
-        void sent() {
-            if (edge == 0 || lastSecond.latestAt() < clock - IDLE_MS) {
-                // Many senders may begin at one moment: where a rate is listed, each with its even part.
-                rate = listedRate == 0 ? Double.POSITIVE_INFINITY : Math.max(floor(), evenRate());
-                edge = rate;
+        void callSent() {
+            if (refusedRate == 0 || sendsLastSecond.latestAt() < clock - DESTINATION_IDLE_MS) {
+                // Many senders may start at one moment: each begins with an even share of a listed rate.
+                pacingRate = listedRate == 0 ? Double.POSITIVE_INFINITY : Math.max(minRate(), evenRate());
+                refusedRate = pacingRate;
             }
-            sends.count();
-            lastSecond.add();
-            if (rate < Double.POSITIVE_INFINITY) {
-                nextAt = Math.max(nextAt, clock - PACE_BURST_MS) + 1 / rate;
+            sendRate.add();
+            sendsLastSecond.add();
+            if (pacingRate < Double.POSITIVE_INFINITY) {
+                nextCallAt = Math.max(nextCallAt, clock - BURST_MS) + 1 / pacingRate;
             }
         }
 
-        /** Each message of a call may be told its own wait, in turns of its own. */
-        void told(double waitMs) {
-            waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
+        /** Each message of a call may have its own retry-after, in separate turns; the latest end counts. */
+        void applyRetryAfter(double waitMs) {
+            retryAfterUntil = waitMs > 0
+                    ? Math.max(retryAfterUntil, clock + waitMs + CLOCK_MARGIN_MS) : retryAfterUntil;
         }
 
-        /**
-         * Refusals of calls sent before the last cut are old news. Waits of all senders end at one moment:
-         * where a pace is slower than the wait it begins at random after it, lest they all come at once.
-         */
-        void refused(Call call) {
-            if (call.sentAt < cutAt) {
+        /** Cuts the pacing rate, unless the call was sent before the last cut. */
+        void callRefused(Call call) {
+            if (call.sentAt < lastCutAt) {
                 return;
             }
-            edge = rate == Double.POSITIVE_INFINITY ? lastSecond.countUntilLatest() / 1000.0
-                    : Math.min(rate, PACE_OVER_SENT * sends.perMs());
-            rate = Math.max(floor(), edge * PACE_CUT);
-            pressed = Math.min(pressed + 1, PACE_PAUSES);
-            inRow++;
-            cutAt = clock;
-            nextAt = clock + 1 / rate;
-            if (nextAt > waitUntil) {
-                nextAt = Math.max(clock, waitUntil) + (0.5 + random.nextDouble()) / rate;
+            refusedRate = pacingRate == Double.POSITIVE_INFINITY ? sendsLastSecond.countUntilLatest() / 1000.0
+                    : Math.min(pacingRate, MAX_SENT_RATE_MULTIPLE * sendRate.perMs());
+            pacingRate = Math.max(minRate(), refusedRate * RATE_CUT_FACTOR);
+            intervalGrowths = Math.min(intervalGrowths + 1, MAX_INTERVAL_GROWTHS);
+            refusalsInRow++;
+            lastCutAt = clock;
+            nextCallAt = clock + 1 / pacingRate;
+            // The retry-after of all senders ends at one moment: longer intervals start at random after it.
+            if (nextCallAt > retryAfterUntil) {
+                nextCallAt = Math.max(clock, retryAfterUntil) + (0.5 + random.nextDouble()) / pacingRate;
             }
         }
 
-        /** After an outage, whose refusals tell nothing of a listed limit. */
-        void restore() {
-            rate = listedRate > 0 ? Math.max(rate, Math.max(rateLastGood, evenRate())) : rate;
-            nextAt = listedRate > 0 ? clock : nextAt;
+        /** Raises the rate again after an outage, whose refusals say nothing about a listed limit. */
+        void outageEnded() {
+            pacingRate = listedRate > 0
+                    ? Math.max(pacingRate, Math.max(rateAtLastDelivery, evenRate())) : pacingRate;
+            nextCallAt = listedRate > 0 ? clock : nextCallAt;
         }
 
-        void delivered() {
-            pressed = Math.max(pressed - 1, 0);
-            inRow = 0;
-            boolean quick = rate < PACE_NEAR * edge || clock > cutAt + PACE_MEMORY_MS;
-            double grown = rate * (1 + (quick ? PACE_GROWTH : PACE_PROBE));
-            // Until it is refused a pace soon follows this sender's own messages, however few its calls.
-            double trusted = clock > cutAt + IDLE_MS ? DEMAND_SHARE * callsNeeded() : 0;
-            rate = Math.max(floor(), Math.max(grown, Math.min(2 * rate, trusted)));
-            rateLastGood = rate;
+        void callDelivered() {
+            intervalGrowths = Math.max(intervalGrowths - 1, 0);
+            refusalsInRow = 0;
+            boolean fast = pacingRate < NEAR_REFUSED_SHARE * refusedRate || clock > lastCutAt + CUT_MEMORY_MS;
+            double grown = pacingRate * (1 + (fast ? RATE_GROWTH : RATE_SLOW_GROWTH));
+            // Without recent refusals the rate soon follows this sender's demand, however few its calls.
+            double trusted = clock > lastCutAt + DESTINATION_IDLE_MS ? DEMAND_SHARE * neededRate() : 0;
+            pacingRate = Math.max(minRate(), Math.max(grown, Math.min(2 * pacingRate, trusted)));
+            rateAtLastDelivery = pacingRate;
         }
 
-        private double floor() {
-            double own = Math.max(PACE_LEAST_SHARE * callsNeeded(), LISTED_SHARE * evenRate());
-            double least = listedRate > 0 ? 0 : 1 / (PACE_PAUSE_MS * Math.pow(PACE_PAUSE_GROWTH, pressed));
-            return Math.max(least, own / Math.pow(PACE_PAUSE_GROWTH, Math.max(0, inRow - FLOOR_REFUSALS)));
+        private double minRate() {
+            double own = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
+            double unlisted = listedRate > 0 ? 0
+                    : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, intervalGrowths));
+            return Math.max(unlisted,
+                    own / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
         }
 
-        /** Endpoints that share this limit. */
-        int routes() {
-            return this == destination.shared ? destination.targets.size() : 1;
+        /** Number of endpoints that share this limit. */
+        int endpointCount() {
+            return this == destination.sharedLimiter ? destination.members.size() : 1;
         }
 
+        /** The listed rate, divided evenly among the senders. */
         double evenRate() {
             return listedRate / settings.senders();
         }
 
-        /** Calls a millisecond that this sender's messages need here: the routes share them. */
-        private double callsNeeded() {
-            return destination.demand.perMs() / messagesACall();
+        /** Calls per millisecond that this sender's demand needs here; the routes share the demand. */
+        private double neededRate() {
+            return destination.demand.perMs() / messagesPerCall();
         }
 
-        private double messagesACall() {
-            return (double) destination.targets.get(0).batch * destination.targets.size() / routes();
+        private double messagesPerCall() {
+            return (double) destination.members.get(0).maxBatch * destination.members.size()
+                    / endpointCount();
         }
     }
 
-    private enum State { UP, DOWN, WARMING }
+    /** UP takes calls, DOWN single probes only, WARMING is in slow start after an outage. */
+    private enum Circuit { UP, DOWN, WARMING }
 
     /**
-     * An endpoint and its health. Guards against dead, silent, failing and shut endpoints alike: when down,
-     * single trials replace the backlog; when it answers again, a ramp keeps within what it can take cold.
+     * An endpoint and its health. Handles dead, silent, failing and unavailable endpoints alike: while down
+     * it gets single probes, and once it answers again, a slow start within its capacity when cold.
      */
-    private final class Target {
+    private final class EndpointState {
         final Endpoint entry;
         final Destination destination;
-        final Limit limit;
-        final int batch;
+        final RateLimiter limiter;
+        final int maxBatch;
         final double fee;
         boolean serving;
-        boolean leftOut;
-        State state = State.UP;
-        Call latest;
-        final LatencyEstimate latency = new LatencyEstimate(FIRST_LATENCY_MS);
-        double bad;
+        boolean inMaintenance;
+        Circuit circuit = Circuit.UP;
+        Call latestCall;
+        final LatencyEstimate latency = new LatencyEstimate(INITIAL_LATENCY_MS);
+        double failureScore;
         int silentCalls;
-        int fruitless;
-        double fruitlessSince;
-        double lastGood = Double.NEGATIVE_INFINITY;
-        final Rate carried = new Rate(() -> clock, CARRIED_MS, CARRIED_LEAST_MS);
-        double warmSince;
-        double downAt;
-        boolean silentOnly;
-        /** It is down for one failed connect alone. */
-        boolean connectOnly;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double usedAt = Double.NEGATIVE_INFINITY;
-        int out;
-
-        Target(Endpoint entry, Destination destination) {
+        int failures; // failures and refusals since the last delivery
+        double failingSince;
+        double lastDeliveryAt = Double.NEGATIVE_INFINITY;
+        final Rate deliveredRate = new Rate(() -> clock, RATE_PERIOD_MS, MIN_RATE_PERIOD_MS);
+        double warmingSince;
+        double downSince;
+        boolean downBySilence;
+        boolean downByOneConnect;
+        double nextCallAt = Double.NEGATIVE_INFINITY;
+        double lastUsedAt = Double.NEGATIVE_INFINITY;
+        int callsInFlight;
+
+        EndpointState(Endpoint entry, Destination destination) {
             Kind kind = settings.kinds().get(Math.min(entry.kind(), settings.kinds().size() - 1));
             this.entry = entry;
             this.destination = destination;
-            this.limit = kind.separateRoutes() ? new Limit(destination) : destination.shared;
-            this.batch = kind.batch();
+            this.limiter = kind.separateRoutes() ? new RateLimiter(destination) : destination.sharedLimiter;
+            this.maxBatch = kind.batch();
             boolean charged = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
             this.fee = charged ? settings.zoneFees().get(entry.zone()) : 0;
         }
 
-        /**
-         * What sending there costs in time: the usual answer with its calls out, the last fruitless ends and
-         * the fee. A trial that is due goes first, lest it stay down for ever; unsafe messages avoid it.
-         */
-        double cost(Delivery d) {
-            if (state == State.DOWN) {
-                return (d.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
+        /** Cost of a send, as time: latency with calls in flight, failures in a row, and the fee. */
+        double cost(Delivery delivery) {
+            // A due probe goes first, or the endpoint might stay down forever; unsafe messages avoid it.
+            if (circuit == Circuit.DOWN) {
+                return (delivery.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
-            return latency.mean() * (1 + out) + fruitless * SHUT_MS + fee * FEE_MS * freeShare;
+            return latency.mean() * (1 + callsInFlight) + failures * UNAVAILABLE_MS
+                    + fee * FEE_POINT_MS * freeShare;
         }
 
-        EndpointSnapshot memory() {
-            return new EndpointSnapshot(entry, state.name(), latency.mean(), latency.deviation(), bad,
-                    silentCalls, fruitless, fruitlessSince - clock, lastGood - clock, warmSince - clock,
-                    nextAt - clock, carried.memory(), destination.demand.memory(), limit.memory());
+        EndpointSnapshot snapshot() {
+            return new EndpointSnapshot(entry, circuit.name(), latency.mean(), latency.deviation(),
+                    failureScore, silentCalls, failures, failingSince - clock, lastDeliveryAt - clock,
+                    warmingSince - clock, nextCallAt - clock, deliveredRate.snapshot(),
+                    destination.demand.snapshot(), limiter.snapshot());
         }
 
-        void remember(EndpointSnapshot m, double takenAt) {
-            state = State.valueOf(m.state());
-            latency.set(m.latency(), m.deviation());
-            bad = m.bad();
-            silentCalls = m.silentCalls();
-            fruitless = m.fruitless();
-            fruitlessSince = takenAt + m.fruitlessIn();
-            lastGood = takenAt + m.lastGoodIn();
-            warmSince = takenAt + m.warmIn();
-            nextAt = takenAt + m.nextIn();
-            carried.remember(m.carried());
-            destination.demand.remember(m.demand());
-            limit.remember(m.limit(), takenAt);
+        void restore(EndpointSnapshot snapshot, double takenAt) {
+            circuit = Circuit.valueOf(snapshot.state());
+            latency.set(snapshot.latency(), snapshot.deviation());
+            failureScore = snapshot.bad();
+            silentCalls = snapshot.silentCalls();
+            failures = snapshot.fruitless();
+            failingSince = takenAt + snapshot.fruitlessIn();
+            lastDeliveryAt = takenAt + snapshot.lastGoodIn();
+            warmingSince = takenAt + snapshot.warmIn();
+            nextCallAt = takenAt + snapshot.nextIn();
+            deliveredRate.restore(snapshot.carried());
+            destination.demand.restore(snapshot.demand());
+            limiter.restore(snapshot.limit(), takenAt);
         }
 
-        /** By the list and by the operators, whatever its health. */
-        boolean takes() {
-            return serving && !leftOut;
+        /** Listed as serving and not in maintenance, whatever its health. */
+        boolean isInService() {
+            return serving && !inMaintenance;
         }
 
-        /** It is restarted while it is left out: it comes back cold, with a trial that goes first. */
-        void maintained(boolean out) {
-            leftOut = out;
+        /** An endpoint in maintenance is restarted: it comes back cold, with a probe that goes first. */
+        void setInMaintenance(boolean out) {
+            inMaintenance = out;
             actions.closeIdle(entry.id());
             if (!out) {
-                bad = 0;
-                fruitless = 0;
+                failureScore = 0;
+                failures = 0;
                 silentCalls = 0;
-                state = State.DOWN;
+                circuit = Circuit.DOWN;
             }
         }
 
-        /** Whether any message may go there now, as far as the endpoint, its limit and the slots decide. */
-        boolean isOpen() {
-            // Fewer slots than stay free, lest a slow or silent destination holds them all.
-            boolean slot = slotsUsed < settings.slots() && (state != State.DOWN || out == 0)
-                    && destination.out < Math.max(1, settings.slots() - slotsUsed - 1);
-            return takes() && limit.waitUntil <= clock && (mayJoin() || slot && opensAt() <= clock);
+        /** Whether any message may be sent here now, as far as endpoint, limit and slots decide. */
+        boolean canTakeCall() {
+            // A destination gets fewer slots than stay free: a slow or silent one must not hold them all.
+            boolean slot = slotsUsed < settings.slots() && (circuit != Circuit.DOWN || callsInFlight == 0)
+                    && destination.callsInFlight < Math.max(1, settings.slots() - slotsUsed - 1);
+            return isInService() && limiter.retryAfterUntil <= clock
+                    && (canJoinCall() || slot && nextCallAllowedAt() <= clock);
         }
 
-        boolean mayJoin() {
-            return latest != null && latest.sentTurn == turn && latest.items < batch && state != State.DOWN;
+        boolean canJoinCall() {
+            return latestCall != null && latestCall.sentTurn == turn && latestCall.messages < maxBatch
+                    && circuit != Circuit.DOWN;
         }
 
-        Call joinOrStart() {
-            if (!mayJoin()) {
-                latest = new Call(this);
-                limit.sent();
-                nextAt = state == State.UP ? nextAt : clock + pauseAfterCall();
+        Call joinOrStartCall() {
+            if (!canJoinCall()) {
+                latestCall = new Call(this);
+                limiter.callSent();
+                nextCallAt = circuit == Circuit.UP ? nextCallAt : clock + callIntervalMs();
             }
-            latest.items++;
-            latest.itemsOut++;
-            return latest;
+            latestCall.messages++;
+            latestCall.messagesInFlight++;
+            return latestCall;
         }
 
-        /** When its health and pace let the next call go; trials at a listed rate go by the budget alone. */
-        double opensAt() {
-            return state == State.DOWN && limit.listedRate > 0 ? nextAt : Math.max(limit.nextAt, nextAt);
+        /** When health and pacing allow the next call; with a listed rate, probes depend on health alone. */
+        double nextCallAllowedAt() {
+            return circuit == Circuit.DOWN && limiter.listedRate > 0 ? nextCallAt
+                    : Math.max(limiter.nextCallAt, nextCallAt);
         }
 
-        /** How long a usual answer may take here. */
-        double patience() {
-            return latency.bound(SILENT_DEVIATIONS);
+        /** Time after which a call without an answer is overdue. */
+        double overdueAfterMs() {
+            return latency.meanPlus(OVERDUE_DEVIATIONS);
         }
 
-        /** How long a call may be out: an unsafe one is not to be cut off, so its time-out counts. */
-        double expectedEnd(MessageClass type) {
-            return type.effect() == Effect.UNSAFE ? timeout(type) : patience();
+        /** Expected time of a call; for an unsafe one its time-out, since it must not be cut off. */
+        double expectedCallMs(MessageClass type) {
+            return type.effect() == Effect.UNSAFE ? timeoutMs(type) : overdueAfterMs();
         }
 
-        double timeout(MessageClass type) {
-            double base = Math.max(type.aimMs() * TIMEOUT_AIMS, latency.bound(TIMEOUT_DEVIATIONS));
-            double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
-            return Math.max(base, patience);
+        double timeoutMs(MessageClass type) {
+            double base = Math.max(type.aimMs() * TIMEOUT_TARGET_MULTIPLE,
+                    latency.meanPlus(TIMEOUT_DEVIATIONS));
+            double least = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_TIMEOUT_SHARE : 0;
+            return Math.max(base, least);
         }
 
-        /** While down or warming: until the growing budget has room for one more call. */
-        double pauseAfterCall() {
+        /** While down or warming up: time until the growing budget allows one more call. */
+        double callIntervalMs() {
             ColdStart cold = settings.coldStart();
-            double gain = state == State.DOWN ? 0 : budget(1 - cold.startCapacity()) / cold.warmMs();
-            double chance = limit.listedRate == 0 ? 0
-                    : RAMP_CHANCE / cold.overloadMs() / settings.senders() / limit.routes();
-            double rate = Math.max(1 / (TRIAL_MOST * cold.warmMs()),
-                    budget(cold.startCapacity()) + gain * (clock - warmSince) + chance);
-            double pause = limit.listedRate == 0 ? 1 / rate : 2 / (rate + Math.sqrt(rate * rate + 2 * gain));
-            double trialPause = Math.min(pause, TRIAL_LEAST_MS * settings.senders());
-            return state == State.DOWN ? Math.max(TRIAL_LEAST_MS, trialPause) : pause;
-        }
-
-        /** This sender's part of the rule's budget: as it shared before, or evenly of what is listed. */
+            double gain = circuit == Circuit.DOWN ? 0 : budget(1 - cold.startCapacity()) / cold.warmMs();
+            double chance = limiter.listedRate == 0 ? 0 : SLOW_START_EXTRA_CALLS / cold.overloadMs()
+                    / settings.senders() / limiter.endpointCount();
+            double rate = Math.max(1 / (MAX_INTERVAL_WARM_UPS * cold.warmMs()),
+                    budget(cold.startCapacity()) + gain * (clock - warmingSince) + chance);
+            double intervalMs = limiter.listedRate == 0 ? 1 / rate
+                    : 2 / (rate + Math.sqrt(rate * rate + 2 * gain));
+            double probeIntervalMs = Math.min(intervalMs, MIN_PROBE_INTERVAL_MS * settings.senders());
+            return circuit == Circuit.DOWN ? Math.max(MIN_PROBE_INTERVAL_MS, probeIntervalMs) : intervalMs;
+        }
+
+        /** This sender's part of the overload budget: by its earlier rate, or even by the listed rate. */
         private double budget(double capacity) {
-            double asked = DEMAND_SHARE * destination.demand.perMs() / destination.targets.size();
-            double even = LISTED_SHARE * limit.evenRate() / limit.routes();
-            return RAMP_SAFETY * settings.coldStart().overloadMultiple() * capacity
-                    * Math.max(even, Math.max(carried.perMs(), asked));
+            double demanded = DEMAND_SHARE * destination.demand.perMs() / destination.members.size();
+            double even = LISTED_RATE_SHARE * limiter.evenRate() / limiter.endpointCount();
+            return SLOW_START_BUDGET_SHARE * settings.coldStart().overloadMultiple() * capacity
+                    * Math.max(even, Math.max(deliveredRate.perMs(), demanded));
         }
 
         void observe(Call call, AttemptEnd end) {
             switch (end.outcome()) {
-                case DELIVERED -> good(call, end);
+                case DELIVERED -> callDelivered(call, end);
                 case FULL -> {
-                    limit.refused(call);
-                    turnedAway(call, end);
+                    limiter.callRefused(call);
+                    callRefused(call, end);
                 }
-                case NO_CONNECTION -> {
-                    // The calls of one moment count once.
-                    if (state != State.UP || call.sentAt >= nextAt) {
-                        turnedAway(call, end);
-                        double longest = latency.mean() * Math.pow(2, Math.min(fruitless, CONNECT_BACKOFFS));
-                        nextAt = Math.max(nextAt, clock + random.nextDouble() * longest);
+                case NO_CONNECTION -> { // calls sent at the same moment count once
+                    if (circuit != Circuit.UP || call.sentAt >= nextCallAt) {
+                        callRefused(call, end);
+                        double mostMs = latency.mean() * Math.pow(2, Math.min(failures, CONNECT_DOUBLINGS));
+                        nextCallAt = Math.max(nextCallAt, clock + random.nextDouble() * mostMs);
                     }
                 }
                 case UNREACHABLE -> {
-                    boolean wasDown = state == State.DOWN;
-                    bad(call, UNREACHABLE_WEIGHT, "refuses connections");
-                    connectOnly = !wasDown && fruitless == 1;
+                    boolean wasDown = circuit == Circuit.DOWN;
+                    callFailed(call, UNREACHABLE_WEIGHT, "refuses connections");
+                    downByOneConnect = !wasDown && failures == 1;
                 }
-                case ERROR -> bad(call, BAD_WEIGHT, "loses calls");
+                case ERROR -> callFailed(call, FAILURE_WEIGHT, "loses calls");
                 default -> {
-                    connections.lost(call);
-                    bad(call, BAD_WEIGHT, "loses calls");
+                    idleConnections.callLost(call);
+                    callFailed(call, FAILURE_WEIGHT, "loses calls");
                 }
             }
-            if (state == State.WARMING && clock - warmSince >= settings.coldStart().warmMs()) {
-                up("is warm");
+            if (circuit == Circuit.WARMING && clock - warmingSince >= settings.coldStart().warmMs()) {
+                markUp("is warm");
             }
         }
 
-        private void turnedAway(Call call, AttemptEnd end) {
-            if (noneGood(call) || end.waitMs() >= SHUT_MS) {
-                down("is shut");
+        private void callRefused(Call call, AttemptEnd end) {
+            if (addFailure(call) || end.waitMs() >= UNAVAILABLE_MS) {
+                markDown("is shut");
             }
         }
 
-        private void good(Call call, AttemptEnd end) {
-            connections.held(call);
-            bad *= GOOD_FACTOR;
-            boolean once = connectOnly && fruitless == 1;
+        private void callDelivered(Call call, AttemptEnd end) {
+            idleConnections.callDelivered(call);
+            failureScore *= SUCCESS_FACTOR;
+            boolean oneConnectFailed = downByOneConnect && failures == 1;
             silentCalls = 0;
-            fruitless = 0;
-            lastGood = clock;
+            failures = 0;
+            lastDeliveryAt = clock;
             latency.add(end.tookMs());
-            if (state == State.UP) {
-                carried.count();
-            } else if (state == State.DOWN && silentOnly && call.sentAt < downAt) {
-                up("was slow, not silent");
-            } else if (state == State.DOWN && once) {
-                // In an outage the trial would have failed too: the network's failure, or a full table's.
-                up("failed one connect only");
-            } else if (state == State.DOWN) {
-                warmSince = clock;
-                state = State.WARMING;
+            if (circuit == Circuit.UP) {
+                deliveredRate.add();
+            } else if (circuit == Circuit.DOWN && downBySilence && call.sentAt < downSince) {
+                markUp("was slow, not silent");
+            } else if (circuit == Circuit.DOWN && oneConnectFailed) {
+                // An outage would have failed the probe too: the network failed once, or a table was full.
+                markUp("failed one connect only");
+            } else if (circuit == Circuit.DOWN) {
+                warmingSince = clock;
+                circuit = Circuit.WARMING;
                 latency.restart(end.tookMs());
-                nextAt = clock + pauseAfterCall();
-                limit.restore();
+                nextCallAt = clock + callIntervalMs();
+                limiter.outageEnded();
                 actions.log("endpoint " + entry.id() + " answers again, warming");
             }
-            limit.delivered();
+            limiter.callDelivered();
         }
 
-        /** Calls that were out together are one sign: a second one is that of a call which began after it. */
-        private boolean noneGood(Call call) {
-            boolean quiet = fruitless > 0 && call.sentAt >= fruitlessSince && clock - lastGood >= CARRIED_MS;
-            if (fruitless++ == 0) {
-                fruitlessSince = clock;
+        /** Counts a failure or refusal and returns whether the endpoint counts as down. */
+        private boolean addFailure(Call call) {
+            // After long without a delivery a second failure is enough, if its call was sent after the first:
+            // calls in flight together are one sign.
+            boolean failsAgain = failures > 0 && call.sentAt >= failingSince
+                    && clock - lastDeliveryAt >= RATE_PERIOD_MS;
+            if (failures++ == 0) {
+                failingSince = clock;
             }
-            return quiet || fruitless >= SHUT_ENDS && clock - fruitlessSince >= SHUT_MS;
+            return failsAgain || failures >= UNAVAILABLE_FAILURES && clock - failingSince >= UNAVAILABLE_MS;
         }
 
-        private void bad(Call call, double weight, String symptom) {
-            bad += (1 - bad) * weight;
-            if (noneGood(call) || bad >= DOWN_AT) {
-                down(symptom);
+        private void callFailed(Call call, double weight, String symptom) {
+            failureScore += (1 - failureScore) * weight;
+            if (addFailure(call) || failureScore >= DOWN_SCORE) {
+                markDown(symptom);
             }
         }
 
-        void overdue(Call call) {
-            connections.lost(call);
-            if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
-                boolean wasDown = state == State.DOWN;
-                down("is silent");
-                silentOnly = !wasDown;
+        void callOverdue(Call call) {
+            idleConnections.callLost(call);
+            if (lastDeliveryAt < call.sentAt && ++silentCalls >= SILENT_CALLS) {
+                boolean wasDown = circuit == Circuit.DOWN;
+                markDown("is silent");
+                downBySilence = !wasDown;
             }
         }
 
-        private void up(String symptom) {
-            state = State.UP;
-            nextAt = clock;
-            carried.resume();
+        private void markUp(String symptom) {
+            circuit = Circuit.UP;
+            nextCallAt = clock;
+            deliveredRate.resume();
             actions.log("endpoint " + entry.id() + " " + symptom);
         }
 
-        private void down(String symptom) {
-            silentOnly = false;
-            connectOnly = false;
-            if (state != State.DOWN) {
-                state = State.DOWN;
-                downAt = clock;
-                nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() * pauseAfterCall();
+        private void markDown(String symptom) {
+            downBySilence = false;
+            downByOneConnect = false;
+            if (circuit != Circuit.DOWN) {
+                circuit = Circuit.DOWN;
+                downSince = clock;
+                nextCallAt = Math.max(clock, limiter.retryAfterUntil)
+                        + random.nextDouble() * callIntervalMs();
                 actions.log("endpoint " + entry.id() + " " + symptom + ", trials only");
             }
         }
     }
 
     /**
-     * How long a connection may idle before it is not trusted. Guards against connections that are dropped
-     * unseen: after losses on idle ones at two destinations, connections that idled nearly so long are closed
-     * before the next call, until a delivery over one that idled as long comes in, whatever drops them.
+     * How long a connection may be idle and still be used. Guards against connections that are dropped
+     * silently: after losses on idle ones at two destinations, connections that were idle nearly as long are
+     * closed before the next call, whatever drops them, until a call over one as long idle is delivered.
      */
-    private final class Connections {
-        private Optional<Call> suspect = Optional.empty();
-        private double lostAt = Double.NEGATIVE_INFINITY;
-        private boolean sure;
-
-        /** How long the connection that a call now takes has idled: 0 for one in use, or a new one. */
-        double take(Target target) {
-            double idle = target.out > 0 ? 0 : clock - target.usedAt;
-            if (clock > lostAt + TRUST_MEMORY_MS) {
+    private final class IdleConnectionTrust {
+        private Optional<Call> suspect = Optional.empty(); // lost call with the shortest idle time
+        private double lastLossAt = Double.NEGATIVE_INFINITY;
+        private boolean confirmed;
+
+        /** Idle time of the connection that a new call uses: 0 if it is new, or not idle. */
+        double take(EndpointState endpoint) {
+            double idleMs = endpoint.callsInFlight > 0 ? 0 : clock - endpoint.lastUsedAt;
+            if (clock > lastLossAt + LOSS_MEMORY_MS) {
                 suspect = Optional.empty();
-                sure = false;
+                confirmed = false;
             }
-            if (idle < IDLE_LEAST_MS || idle >= settings.keepAliveMs()) {
+            if (idleMs < CONNECTION_IDLE_MS || idleMs >= settings.keepAliveMs()) {
                 return 0;
             }
-            if (sure && suspect.filter(s -> idle > s.idledMs * TRUST_CUT).isPresent()) {
-                actions.closeIdle(target.entry.id());
+            if (confirmed && suspect.filter(s -> idleMs > s.idleMs * TRUSTED_IDLE_SHARE).isPresent()) {
+                actions.closeIdle(endpoint.entry.id());
                 return 0;
             }
-            return idle;
+            return idleMs;
         }
 
-        void lost(Call call) {
-            if (call.idledMs > 0) {
-                sure |= suspect.filter(s -> s.target.destination != call.target.destination).isPresent();
-                suspect = suspect.filter(s -> s.idledMs < call.idledMs).or(() -> Optional.of(call));
-                lostAt = clock;
+        void callLost(Call call) {
+            if (call.idleMs > 0) {
+                confirmed |= suspect.filter(s -> s.endpoint.destination != call.endpoint.destination)
+                        .isPresent();
+                suspect = suspect.filter(s -> s.idleMs < call.idleMs).or(() -> Optional.of(call));
+                lastLossAt = clock;
             }
         }
 
-        void held(Call call) {
-            suspect = suspect.filter(s -> s != call && (call.late || call.idledMs < s.idledMs));
-            sure &= suspect.isPresent();
+        void callDelivered(Call call) {
+            suspect = suspect.filter(s -> s != call && (call.overdue || call.idleMs < s.idleMs));
+            confirmed &= suspect.isPresent();
         }
     }
 }
--- a/src/main/java/starlingvalve/InvalidInputException.java
+++ b/src/main/java/starlingvalve/InvalidInputException.java
@@ -1,10 +1,10 @@
 package starlingvalve;
 
-/** Input that can't be read, in plain words. */
+/** Signals input that can't be parsed or is not valid. */
 public final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong with it. */
+    /** The text says what is wrong with the input. */
     public InvalidInputException(String text) {
         super(text);
     }
--- a/src/main/java/starlingvalve/KeyOrder.java
+++ b/src/main/java/starlingvalve/KeyOrder.java
@@ -10,102 +10,103 @@
 import starlingvalve.DeliveryPolicy.Outcome;
 
 /**
- * The order of messages that share a key: one at a time, as they were taken. A key rests after an end that leaves open
- * whether the attempt still runs.
+ * Keeps messages with the same ordering key in order: one at a time, in the order of acceptance. A key is quarantined
+ * after an attempt whose end leaves open whether it still runs.
  */
 final class KeyOrder {
     /** A message, as far as its order is concerned. */
     interface Item {
-        /** The key by which it is kept in order, if it is. */
+        /** The ordering key; empty for a message that is not kept in order. */
         Optional<String> orderKey();
 
-        /** Its calls that may still run. */
-        int callsOut();
+        /** Number of its calls that may still run. */
+        int callsInFlight();
     }
 
-    private static final class Line {
+    private static final class KeyQueue {
         final Deque<Item> waiting = new ArrayDeque<>();
-        double restUntil = Double.NEGATIVE_INFINITY;
-        int out;
+        double quarantinedUntil = Double.NEGATIVE_INFINITY;
+        int callsInFlight;
     }
 
-    private final double restMs;
+    private final double quarantineMs;
     private final DoubleSupplier clock;
     private final Timers timers;
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, KeyQueue> queues = new LinkedHashMap<>();
 
-    /** Keys rest for so long, by this clock. */
-    KeyOrder(double restMs, DoubleSupplier clock, Timers timers) {
-        this.restMs = restMs;
+    /** Quarantines last {@code quarantineMs} on the given clock. */
+    KeyOrder(double quarantineMs, DoubleSupplier clock, Timers timers) {
+        this.quarantineMs = quarantineMs;
         this.clock = clock;
         this.timers = timers;
     }
 
-    private Optional<Line> line(Item item) {
-        return item.orderKey().map(lines::get);
+    private Optional<KeyQueue> queueOf(Item item) {
+        return item.orderKey().map(queues::get);
     }
 
-    /** A message was taken, behind all of its key that were taken before. */
-    void taken(Item item) {
-        item.orderKey().ifPresent(key -> lines.computeIfAbsent(key, k -> new Line()).waiting.add(item));
+    /** Adds an accepted message behind all earlier ones of its key. */
+    void accepted(Item item) {
+        item.orderKey().ifPresent(key -> queues.computeIfAbsent(key, k -> new KeyQueue()).waiting.add(item));
     }
 
-    /** The key of a message rests from now on: something of it may still run. */
-    void rest(Item item) {
-        line(item).ifPresent(line -> {
-            line.restUntil = clock.getAsDouble() + restMs;
-            timers.add(line.restUntil, () -> drop(item));
+    /** Quarantines the key of a message from now on, because an attempt of it may still run. */
+    void quarantine(Item item) {
+        queueOf(item).ifPresent(queue -> {
+            queue.quarantinedUntil = clock.getAsDouble() + quarantineMs;
+            timers.add(queue.quarantinedUntil, () -> removeIfUnused(item));
         });
     }
 
-    /** Whether it is the turn of a message, and nothing else of its key may still run. */
+    /** Whether a message is the first of its key and no other call of the key may still run. */
     boolean mayGo(Item item) {
-        return line(item).map(line -> line.waiting.peek() == item && line.out == item.callsOut()
-                && line.restUntil <= clock.getAsDouble()).orElse(true);
+        return queueOf(item).map(queue -> queue.waiting.peek() == item && queue.callsInFlight == item.callsInFlight()
+                && queue.quarantinedUntil <= clock.getAsDouble()).orElse(true);
     }
 
-    /** The keys that rest, each with the time until it goes on. */
-    Map<String, Double> rests() {
+    /** The quarantined keys, each with the time in milliseconds until its quarantine ends. */
+    Map<String, Double> quarantines() {
         double now = clock.getAsDouble();
-        return lines.entrySet().stream().filter(entry -> entry.getValue().restUntil > now)
-                .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().restUntil - now));
+        return queues.entrySet().stream().filter(entry -> entry.getValue().quarantinedUntil > now)
+                .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().quarantinedUntil - now));
     }
 
-    /** A key rests until this time, as another instance has told. */
-    void remember(String key, double restUntil) {
-        lines.computeIfAbsent(key, k -> new Line()).restUntil = restUntil;
-        timers.add(restUntil, () -> { });
+    /** Restores the quarantine of a key from the snapshot of another instance. */
+    void restoreQuarantine(String key, double quarantinedUntil) {
+        queues.computeIfAbsent(key, k -> new KeyQueue()).quarantinedUntil = quarantinedUntil;
+        timers.add(quarantinedUntil, () -> { });
     }
 
-    /** A call of a message begins, or is out: also of one that is over, which its key waits for all the same. */
-    void attemptSent(Item item) {
-        item.orderKey().ifPresent(key -> lines.computeIfAbsent(key, k -> new Line()).out++);
+    /** Counts a call of a message that starts, or is in flight; the key waits for it even if the message has ended. */
+    void callStarted(Item item) {
+        item.orderKey().ifPresent(key -> queues.computeIfAbsent(key, k -> new KeyQueue()).callsInFlight++);
     }
 
-    /** A call of a message has ended in this way. */
-    void attemptEnded(Item item, Outcome outcome) {
-        line(item).ifPresent(line -> line.out--);
+    /** Notes that a call of a message has ended, and quarantines its key if the call may still run at the endpoint. */
+    void callEnded(Item item, Outcome outcome) {
+        queueOf(item).ifPresent(queue -> queue.callsInFlight--);
         if (outcome.mayHaveRun() && outcome != Outcome.ERROR) {
-            rest(item);
+            quarantine(item);
         }
-        drop(item);
+        removeIfUnused(item);
     }
 
-    /** A message is over: the next of its key may go. */
-    void ended(Item item) {
-        line(item).ifPresent(line -> line.waiting.remove(item));
-        drop(item);
+    /** Removes a message that has ended, so that the next one of its key may be sent. */
+    void messageEnded(Item item) {
+        queueOf(item).ifPresent(queue -> queue.waiting.remove(item));
+        removeIfUnused(item);
     }
 
-    /** A message is not known any more, nor are its calls. */
+    /** Removes a message together with its calls, as if it had never been known. */
     void forget(Item item) {
-        line(item).filter(line -> line.waiting.remove(item))
-                .ifPresent(line -> line.out = Math.max(0, line.out - item.callsOut()));
-        drop(item);
+        queueOf(item).filter(queue -> queue.waiting.remove(item))
+                .ifPresent(queue -> queue.callsInFlight = Math.max(0, queue.callsInFlight - item.callsInFlight()));
+        removeIfUnused(item);
     }
 
-    private void drop(Item item) {
-        line(item).filter(line -> line.waiting.isEmpty() && line.out == 0 && line.restUntil <= clock.getAsDouble())
-                .ifPresent(line -> item.orderKey().ifPresent(lines::remove));
+    private void removeIfUnused(Item item) {
+        queueOf(item).filter(queue -> queue.waiting.isEmpty() && queue.callsInFlight == 0
+                && queue.quarantinedUntil <= clock.getAsDouble())
+                .ifPresent(queue -> item.orderKey().ifPresent(queues::remove));
     }
 }
--- a/src/main/java/starlingvalve/LatencyEstimate.java
+++ b/src/main/java/starlingvalve/LatencyEstimate.java
@@ -1,31 +1,31 @@
 package starlingvalve;
 
-/** The usual answer time of an endpoint: a running mean with its mean deviation, in milliseconds. */
+/** Estimated latency of an endpoint: moving averages of the answer time and its deviation, in milliseconds. */
 final class LatencyEstimate {
-    /** Weight of a new answer time in the mean, and of its distance in the deviation. */
+    /** Weight of a new answer time in the mean, and of its distance from the mean in the deviation. */
     private static final double WEIGHT = 0.15;
 
     private double mean;
     private double deviation;
 
-    /** Assumes a mean, and half of it as its deviation, until answers come. */
+    /** Starts with an assumed mean, and half of it as the deviation. */
     LatencyEstimate(double assumedMs) {
         set(assumedMs, assumedMs / 2);
     }
 
-    /** Takes over what was estimated elsewhere. */
+    /** Replaces the estimate by one from elsewhere. */
     void set(double meanMs, double deviationMs) {
         mean = meanMs;
         deviation = deviationMs;
     }
 
-    /** An answer took so long. */
+    /** Adds the answer time of a call. */
     void add(double tookMs) {
         deviation += WEIGHT * (Math.abs(tookMs - mean) - deviation);
         mean += WEIGHT * (tookMs - mean);
     }
 
-    /** Begins again with one answer time; the deviation stays. */
+    /** Sets the mean to a single answer time; the deviation stays. */
     void restart(double tookMs) {
         mean = tookMs;
     }
@@ -38,8 +38,8 @@
         return deviation;
     }
 
-    /** The mean and so many deviations. */
-    double bound(double deviations) {
+    /** The mean plus the given number of deviations. */
+    double meanPlus(double deviations) {
         return mean + deviations * deviation;
     }
 }
--- a/src/main/java/starlingvalve/Rate.java
+++ b/src/main/java/starlingvalve/Rate.java
@@ -2,52 +2,53 @@
 
 import java.util.function.DoubleSupplier;
 
-/** Events a millisecond over the last stretch of time in which they were watched, weighed by age. */
+/** Events per millisecond, as an average over the observed time in which older events and times weigh less. */
 final class Rate {
     private final DoubleSupplier clock;
     private final double periodMs;
-    private final double leastMs;
+    private final double minMs;
     private double events;
-    private double over;
-    private double at;
+    private double observedMs;
+    private double updatedAt;
 
-    /** Averages over about the period; a shorter time than the least counts as the least. */
-    Rate(DoubleSupplier clock, double periodMs, double leastMs) {
+    /** Averages over about {@code periodMs}; an observed time shorter than {@code minMs} counts as {@code minMs}. */
+    Rate(DoubleSupplier clock, double periodMs, double minMs) {
         this.clock = clock;
         this.periodMs = periodMs;
-        this.leastMs = leastMs;
-        this.at = clock.getAsDouble();
+        this.minMs = minMs;
+        this.updatedAt = clock.getAsDouble();
     }
 
-    void count() {
-        age();
+    /** Counts an event that occurs now. */
+    void add() {
+        advance();
         events++;
     }
 
-    /** Watches again after a time that does not count. */
+    /** Resumes observation; the time since the last event does not count. */
     void resume() {
-        at = clock.getAsDouble();
+        updatedAt = clock.getAsDouble();
     }
 
     double perMs() {
-        return events / Math.max(over, leastMs);
+        return events / Math.max(observedMs, minMs);
     }
 
-    DeliveryPolicy.RateSnapshot memory() {
-        return new DeliveryPolicy.RateSnapshot(events, over);
+    DeliveryPolicy.RateSnapshot snapshot() {
+        return new DeliveryPolicy.RateSnapshot(events, observedMs);
     }
 
-    void remember(DeliveryPolicy.RateSnapshot m) {
-        events = m.events();
-        over = m.over();
+    void restore(DeliveryPolicy.RateSnapshot snapshot) {
+        events = snapshot.events();
+        observedMs = snapshot.over();
         resume();
     }
 
-    private void age() {
+    private void advance() {
         double now = clock.getAsDouble();
-        double kept = Math.exp((at - now) / periodMs);
+        double kept = Math.exp((updatedAt - now) / periodMs);
         events *= kept;
-        over = over * kept + periodMs * (1 - kept);
-        at = now;
+        observedMs = observedMs * kept + periodMs * (1 - kept);
+        updatedAt = now;
     }
 }
--- a/src/main/java/starlingvalve/RecentEvents.java
+++ b/src/main/java/starlingvalve/RecentEvents.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.function.DoubleSupplier;
 
-/** Times of events within a period before now, for counts over a sliding window. */
+/** Counts events in a sliding window: the period that ends now. */
 final class RecentEvents {
     private final DoubleSupplier clock;
     private final double periodMs;
@@ -16,37 +16,37 @@
         this.periodMs = periodMs;
     }
 
-    /** Counts an event now, and forgets those that the period has left behind. */
+    /** Adds an event that occurs now, and removes those that have left the period. */
     void add() {
         times.add(clock.getAsDouble());
-        forget();
+        removeExpired();
     }
 
-    /** Starts from a count taken elsewhere, as if all of its events had come at one time. */
+    /** Replaces the events by a count from elsewhere, as if all of them had occurred at the given time. */
     void restore(int count, double at) {
         times.clear();
         times.addAll(Collections.nCopies(count, at));
     }
 
-    /** Events within the period that ends now. */
+    /** Number of events within the period that ends now. */
     int count() {
-        forget();
+        removeExpired();
         return times.size();
     }
 
-    /** Events within the period that ended with the latest one. */
+    /** Number of events within the period that ended with the latest event. */
     int countUntilLatest() {
         return times.size();
     }
 
-    /** Time of the latest event, if one is known; not a number otherwise, which compares as false. */
+    /** Time of the latest event; {@code NaN} without one, so that every comparison with it is false. */
     double latestAt() {
         return times.isEmpty() ? Double.NaN : times.peekLast();
     }
 
-    private void forget() {
-        double from = clock.getAsDouble() - periodMs;
-        while (!times.isEmpty() && times.peek() < from) {
+    private void removeExpired() {
+        double start = clock.getAsDouble() - periodMs;
+        while (!times.isEmpty() && times.peek() < start) {
             times.remove();
         }
     }
--- a/src/main/java/starlingvalve/SettingsParser.java
+++ b/src/main/java/starlingvalve/SettingsParser.java
@@ -5,31 +5,32 @@
 import java.util.Map;
 
 /**
- * The settings of one sender by their dotted names, and what the module is told of them. Shared by the
- * adapter and the real sender, lest the two read one setting in two ways; unknown ones are never asked for.
+ * The settings of one sender by their dotted names, and their conversion to the settings of the delivery policy.
+ * The simulator's adapter and the real sender share it, so that both read a setting alike. Unknown settings are
+ * ignored.
  */
 public record SettingsParser(Map<String, String> values) {
-    /** The module's settings. */
+    /** The settings of the delivery policy. */
     public DeliveryPolicy.Settings settings() throws InvalidInputException {
         List<DeliveryPolicy.MessageClass> classes = new ArrayList<>();
         for (int i = 0; i < number("classes.count"); i++) {
-            String c = "classes." + i + ".";
-            DeliveryPolicy.Effect effect = switch (text(c + "repeat")) {
+            String prefix = "classes." + i + ".";
+            DeliveryPolicy.Effect effect = switch (text(prefix + "repeat")) {
                 case "safe" -> DeliveryPolicy.Effect.SAFE;
                 case "keyed" -> DeliveryPolicy.Effect.KEYED;
                 case "unsafe" -> DeliveryPolicy.Effect.UNSAFE;
-                default -> throw new InvalidInputException("unknown value of " + c + "repeat");
+                default -> throw new InvalidInputException("unknown value of " + prefix + "repeat");
             };
-            classes.add(new DeliveryPolicy.MessageClass(number(c + "aim_ms"), number(c + "give_up_ms"),
-                    numberOr(c + "worth", 1), numberOr(c + "late_worth", 0), effect,
-                    !textOr(c + "dedup_scope", "all").equals("all"), numberOr(c + "window_ms", 0),
-                    flag(c + "sequential")));
+            classes.add(new DeliveryPolicy.MessageClass(number(prefix + "aim_ms"), number(prefix + "give_up_ms"),
+                    numberOr(prefix + "worth", 1), numberOr(prefix + "late_worth", 0), effect,
+                    !textOr(prefix + "dedup_scope", "all").equals("all"), numberOr(prefix + "window_ms", 0),
+                    flag(prefix + "sequential")));
         }
         List<DeliveryPolicy.Kind> kinds = new ArrayList<>();
-        List<String> routes = list("family_info.separate_routes");
+        List<String> separateRoutes = list("family_info.separate_routes");
         List<String> batches = list("family_info.batch_by_kind");
-        for (int i = 0; i < Math.max(1, Math.max(routes.size(), batches.size())); i++) {
-            kinds.add(new DeliveryPolicy.Kind(i < routes.size() && routes.get(i).equals("true"),
+        for (int i = 0; i < Math.max(1, Math.max(separateRoutes.size(), batches.size())); i++) {
+            kinds.add(new DeliveryPolicy.Kind(i < separateRoutes.size() && separateRoutes.get(i).equals("true"),
                     i < batches.size() ? (int) parse(batches.get(i)) : 1));
         }
         List<Double> fees = new ArrayList<>();
@@ -38,16 +39,16 @@
         }
         DeliveryPolicy.Decay decay = textOr("family_info.decay", "line").equals("halves")
                 ? DeliveryPolicy.Decay.HALVES : DeliveryPolicy.Decay.LINE;
-        DeliveryPolicy.ColdStart cold = new DeliveryPolicy.ColdStart(number("rules.start_capacity"),
+        DeliveryPolicy.ColdStart coldStart = new DeliveryPolicy.ColdStart(number("rules.start_capacity"),
                 number("rules.warm_after_ms"), number("rules.fall_multiple"), number("rules.fall_ms"));
         boolean ratesListed = !textOr("weight_kind", "none").equals("none");
         return new DeliveryPolicy.Settings(classes, kinds, ratesListed, decay, fees,
                 Math.max(1, (int) number("fleet_size")), (int) number("family_info.workers"),
                 (int) number("limits.most_tries"), flag("limits.second_copies"), flag("limits.cancel"),
-                numberOr("rules.order_pause_ms", 0), numberOr("limits.keepalive_ms", 0), cold);
+                numberOr("rules.order_pause_ms", 0), numberOr("limits.keepalive_ms", 0), coldStart);
     }
 
-    /** The value of a setting that must be there. */
+    /** The value of a required setting. */
     public String text(String name) throws InvalidInputException {
         String value = values.get(name);
         if (value == null) {
@@ -56,27 +57,27 @@
         return value;
     }
 
-    /** The value of a setting, or what stands for its absence. */
-    public String textOr(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    /** The value of a setting, or the default if it is absent. */
+    public String textOr(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
-    /** The number in a setting that must be there. */
+    /** The number in a required setting. */
     public double number(String name) throws InvalidInputException {
         return parse(text(name));
     }
 
-    /** The number in a setting, or what stands for its absence. */
-    public double numberOr(String name, double absent) throws InvalidInputException {
-        return values.containsKey(name) ? number(name) : absent;
+    /** The number in a setting, or the default if it is absent. */
+    public double numberOr(String name, double defaultValue) throws InvalidInputException {
+        return values.containsKey(name) ? number(name) : defaultValue;
     }
 
-    /** Whether a switch is on; an absent one is off. */
+    /** Whether a flag is set; an absent one is not. */
     public boolean flag(String name) {
         return textOr(name, "false").equals("true");
     }
 
-    /** The parts of a list of plain values; none where it is absent. */
+    /** The parts of a comma-separated list; none if it is absent or {@code -}. */
     public List<String> list(String name) {
         String value = textOr(name, "");
         return value.isEmpty() || value.equals("-") ? List.of() : List.of(value.split(","));
@@ -89,7 +90,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, like what no clock or count can mean.
+            // Rejected below, like an infinite value or NaN.
         }
         throw new InvalidInputException("not a number among the settings: " + value);
     }
--- a/src/main/java/starlingvalve/Throttle.java
+++ b/src/main/java/starlingvalve/Throttle.java
@@ -3,8 +3,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Bounds extra sends by a share of the first sends of the last period: copies, lest a slow endpoint double the load,
- * and new waves of refused messages.
+ * Limits extra sends to a share of the first sends of the last period: hedges, which could double the load of a slow
+ * endpoint, and retry rounds of refused messages.
  */
 final class Throttle {
     private final double base;
@@ -16,10 +16,10 @@
     private final Timers timers;
 
     /**
-     * @param base so many extra sends are allowed whatever else is sent
-     * @param share and this share of the first sends
+     * @param base number of extra sends per period that are allowed regardless of the first sends
+     * @param share further extra sends that are allowed, as a share of the first sends
      * @param firstSends the first sends of the last period
-     * @param timers told when an extra send leaves the period, as another may be allowed then
+     * @param timers wakes the scheduler when an extra send leaves the period, as another may be allowed then
      */
     Throttle(double base, double share, double periodMs, DoubleSupplier clock, RecentEvents firstSends, Timers timers) {
         this.base = base;
@@ -31,14 +31,14 @@
         this.timers = timers;
     }
 
-    /** An extra send has been made. */
+    /** Counts an extra send that was made now. */
     void sent() {
         extraSends.add();
         wakeAfterPeriod(clock.getAsDouble());
     }
 
-    private void wakeAfterPeriod(double from) {
-        timers.add(from + periodMs + timers.marginMs(), () -> { });
+    private void wakeAfterPeriod(double sentAt) {
+        timers.add(sentAt + periodMs + timers.marginMs(), () -> { });
     }
 
     /** Whether another extra send may be made now. */
@@ -46,12 +46,12 @@
         return extraSends.count() + 1 <= base + share * firstSends.count();
     }
 
-    /** Extra sends in the last period. */
+    /** Number of extra sends in the last period. */
     int count() {
         return extraSends.count();
     }
 
-    /** So many extra sends were made in the period up to this time, as another process tells. */
+    /** Restores the number of extra sends that another process made in the period before the given time. */
     void restore(int count, double at) {
         extraSends.restore(count, at);
         wakeAfterPeriod(at);
--- a/src/main/java/starlingvalve/Timers.java
+++ b/src/main/java/starlingvalve/Timers.java
@@ -4,49 +4,50 @@
 import java.util.PriorityQueue;
 import java.util.function.DoubleConsumer;
 
-/** What is due later, and the one wake that is asked for it. It decides nothing. */
+/** Actions that are due later, and a single requested wake for the earliest of them. */
 final class Timers {
-    private final PriorityQueue<Timer> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::number));
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.comparingDouble(Timer::dueAt).thenComparingLong(Timer::sequence));
     private final double marginMs;
-    private final DoubleConsumer wakeAt;
-    private long count;
-    private double asked = Double.POSITIVE_INFINITY;
+    private final DoubleConsumer requestWake;
+    private long added;
+    private double requestedAt = Double.POSITIVE_INFINITY;
 
-    private record Timer(double at, long number, Runnable action) {
+    private record Timer(double dueAt, long sequence, Runnable action) {
     }
 
-    /** A wake that comes so early counts as come: clocks are rounded. */
-    Timers(double marginMs, DoubleConsumer wakeAt) {
+    /** A wake up to {@code marginMs} early counts as the requested one, because clocks are rounded. */
+    Timers(double marginMs, DoubleConsumer requestWake) {
         this.marginMs = marginMs;
-        this.wakeAt = wakeAt;
+        this.requestWake = requestWake;
     }
 
-    /** So early a wake may come. */
+    /** Time in milliseconds by which a wake may come early. */
     double marginMs() {
         return marginMs;
     }
 
-    void add(double at, Runnable action) {
-        due.add(new Timer(at, count++, action));
+    /** Schedules an action; actions of the same time run in the order in which they were added. */
+    void add(double dueAt, Runnable action) {
+        timers.add(new Timer(dueAt, added++, action));
     }
 
-    /** Runs all that is due. One that fails does not hold back the others; its fault is thrown at the end. */
+    /** Runs all actions that are due, even if some throw; the first exception is rethrown at the end. */
     void run(double now) {
         FaultCollector faults = new FaultCollector();
-        while (!due.isEmpty() && due.peek().at() <= now) {
-            faults.collect(due.remove().action());
+        while (!timers.isEmpty() && timers.peek().dueAt() <= now) {
+            faults.collect(timers.remove().action());
         }
         faults.rethrow();
     }
 
-    /** Asks for a wake at what is due first, or at the given time if that comes before. */
-    void ask(double now, double opening) {
-        double next = Math.min(opening, due.isEmpty() ? Double.POSITIVE_INFINITY : due.peek().at());
-        if (asked <= now + marginMs || next < asked) {
-            asked = next;
+    /** Requests a wake for the earliest action, or for {@code latest} if that is earlier. */
+    void requestNextWake(double now, double latest) {
+        double next = Math.min(latest, timers.isEmpty() ? Double.POSITIVE_INFINITY : timers.peek().dueAt());
+        if (requestedAt <= now + marginMs || next < requestedAt) {
+            requestedAt = next;
             if (next < Double.POSITIVE_INFINITY) {
-                wakeAt.accept(next);
+                requestWake.accept(next);
             }
         }
     }
