--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -38,13 +38,12 @@
     /** First back-off before a retry round: quick errors or many senders must not use up all attempts. */
     private static final double FIRST_BACKOFF_MS = 200;
     private static final double BACKOFF_GROWTH = 3;
-    private static final double WINDOW_MARGIN_MS = 300; // travel time of a keyed repeat, within its window
+    private static final double WINDOW_MARGIN_MS = 300; // travel time kept free at the end of the window
 
     // Time-outs: a multiple of the latency target, or more where answers are observed to take longer.
     private static final double TIMEOUT_TARGET_MULTIPLE = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    /** Least time-out of an unsafe attempt, as a share of the deadline: no other may follow if it may run. */
-    private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33; // of the deadline at least: it can't be repeated
     private static final double INITIAL_LATENCY_MS = 250; // assumed until an endpoint answers
 
     // Pacing.
@@ -57,20 +56,21 @@
     private static final double RATE_SLOW_GROWTH = 0.03;
     private static final double NEAR_REFUSED_SHARE = 0.9;
     private static final double CUT_MEMORY_MS = 4000;
-    // Longest interval between calls after one refusal, where no rate is listed. Each further refusal
-    // multiplies it, up to a maximum, and deliveries undo that: two calls a second per sender are too many.
+    // Longest interval between calls after one refusal, where no rate is listed: two calls a second from each
+    // of many senders are too many, so each further one multiplies it, up to a maximum; deliveries undo that.
     private static final double MAX_SEND_INTERVAL_MS = 500;
     private static final double SEND_INTERVAL_GROWTH = 3;
     private static final int MAX_INTERVAL_GROWTHS = 4;
     /** Unused send time that a burst may make up for; all senders together burst this long at the limit. */
     private static final double BURST_MS = 250;
-    private static final double MIN_RATE_DEMAND_SHARE = 0.2; // of the calls that this sender's messages need
-    private static final double LISTED_RATE_SHARE = 0.5; // of an even part; listed rates may be half too high
-    /** After more refusals in a row the least rates fall: refused calls may use up all capacity. */
+    /** Least pacing rates: shares of the calls needed, and of an even part of a listed rate. */
+    private static final double MIN_RATE_DEMAND_SHARE = 0.2;
+    private static final double LISTED_RATE_SHARE = 0.5; // a listed rate may be half too high
+    /** After more refusals in a row both fall: where refused calls use capacity too, it might stay full. */
     private static final int MIN_RATE_REFUSALS = 2;
     private static final double DESTINATION_IDLE_MS = 60_000; // without a send; then pacing starts anew
 
-    private static final double CLOCK_MARGIN_MS = 1; // of rounded clocks, for retry-afters and early wakes
+    private static final double CLOCK_MARGIN_MS = 1; // for clock rounding: of retry-afters and early wakes
 
     // Health.
     /** Failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
@@ -80,15 +80,15 @@
     private static final double DOWN_SCORE = 0.6; // five failures in a row, or one failed connect
     private static final int SILENT_CALLS = 2; // overdue, without any answer since
     private static final double OVERDUE_DEVIATIONS = 4;
-    /** Failures or refusals without a delivery, over this time or among recovered messages, mean down. */
+    /** Failures or refusals in a row, over this time or among recovered messages, that mean down. */
     private static final int UNAVAILABLE_FAILURES = 3;
     private static final double UNAVAILABLE_MS = 2500;
-    private static final double MIN_PROBE_INTERVAL_MS = 500; // and at most this times the senders
-    private static final double MAX_INTERVAL_WARM_UPS = 4; // longest interval of a slow start, in warm-ups
+    private static final double MIN_PROBE_INTERVAL_MS = 500; // and this times the senders at most
+    private static final double MAX_INTERVAL_WARM_UPS = 4; // longest interval in a slow start
     private static final double SLOW_START_BUDGET_SHARE = 0.7; // of the overload budget
     private static final double SLOW_START_EXTRA_CALLS = 2; // above the budget, to allow for chance
     private static final double RATE_PERIOD_MS = 10_000; // over which sends, demand and deliveries average
-    private static final double DEMAND_SHARE = 0.7; // trusted to a destination that refuses nothing
+    private static final double DEMAND_SHARE = 0.7; // of the demand, trusted where nothing is refused
     private static final double MIN_RATE_PERIOD_MS = 2000; // shorter counts as this
 
     // Connections.
@@ -105,15 +105,14 @@
     private static final double RANK_WORTH_WEIGHT = 0.01; // orders messages that lose no worth yet
     private static final double FEE_POINT_MS = 25_000; // delay that costs about the worth of a fee of 1
     private static final double HEDGE_RECHECK_MS = 10; // while the endpoint list may be out of date
-    /** A handover ends a message early by no more than this share of its class's deadline. */
-    private static final double HANDOVER_DEADLINE_SHARE = 0.25;
+    private static final double HANDOVER_SHARE = 0.25; // of the deadline: most time that a handover may cost
     private static final double ANSWER_MARGIN_MS = 5; // before the deadline, if nothing is in flight
 
     private final Settings settings;
     private final Actions actions;
     private final Random random;
     private final Map<Long, EndpointState> endpointsById = new LinkedHashMap<>();
-    private final Set<Long> inMaintenance = new LinkedHashSet<>(); // by operators, listed or not
+    private final Set<Long> inMaintenance = new LinkedHashSet<>(); // endpoint ids, listed or not
     private final Map<Long, Destination> destinations = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new LinkedHashMap<>();
     private final Set<Delivery> queue = new LinkedHashSet<>();
@@ -125,8 +124,8 @@
     private final KeyOrder keyOrder;
     private final Timers timers;
     private int slotsUsed;
-    private long turn;
-    private double callsEndBy = Double.POSITIVE_INFINITY;
+    private long turn; // number of the current turn: the events up to the next endTurn()
+    private double callsEndBy = Double.POSITIVE_INFINITY; // no call starts that may end later
 
     DeliveryScheduler(Settings settings, long seed, Actions actions) {
         this.settings = settings;
@@ -175,8 +174,7 @@
     public void handingOver(double now, double pauseMs) {
         advanceClock(now);
         for (Delivery delivery : List.copyOf(queue)) {
-            if (delivery.deadline - clock
-                    <= Math.min(pauseMs, HANDOVER_DEADLINE_SHARE * delivery.type.deadlineMs())) {
+            if (delivery.deadline - clock <= Math.min(pauseMs, HANDOVER_SHARE * delivery.type.deadlineMs())) {
                 endUndelivered(delivery);
             }
         }
@@ -493,7 +491,7 @@
         });
     }
 
-    /** The cheapest endpoint that passes {@link #maySend}; a hedge goes to another one than its message. */
+    /** The cheapest endpoint that passes {@link #maySend}; a hedge goes elsewhere if it can. */
     private Optional<EndpointState> chooseEndpoint(Delivery delivery, boolean hedge) {
         EndpointState best = null;
         boolean elsewhere = hedge && delivery.destination.members.stream()
@@ -895,7 +893,7 @@
         final Rate sendRate = new Rate(() -> clock, RATE_PERIOD_MS, MIN_RATE_PERIOD_MS);
         final RecentEvents sendsLastSecond = new RecentEvents(() -> clock, 1000);
         final Destination destination;
-        int intervalGrowths; // refusals less deliveries since, within bounds
+        int intervalGrowths; // refusals less deliveries, from 0 to the maximum
         int refusalsInRow;
         double listedRate;
         double pacingRate = Double.POSITIVE_INFINITY;
@@ -944,7 +942,7 @@
                     ? Math.max(retryAfterUntil, clock + waitMs + CLOCK_MARGIN_MS) : retryAfterUntil;
         }
 
-        /** Cuts the pacing rate, unless the call was sent before the last cut. */
+        /** Cuts the pacing rate, unless the refusal is outdated: the call was sent before the last cut. */
         void callRefused(Call call) {
             if (call.sentAt < lastCutAt) {
                 return;
--- a/src/test/java/starlingvalve/DeliverySchedulerTest.java
+++ b/src/test/java/starlingvalve/DeliverySchedulerTest.java
@@ -17,393 +17,395 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy.Outcome;
 
-/** The module's behaviour, through its interface: what it costs, waves, rules, misuse and what operators order. */
+/** The scheduler through its interface: cost of a turn, rounds, rules, misuse, maintenance and faults. */
 class DeliverySchedulerTest {
     // ---- the cost of a turn ----
 
-    /** Bytes allocated stand for work here: they hang on no clock, and a look at each message takes some. */
-    private static long bytesOfATurnWith(int waiting) {
-        PolicyHarness b = new PolicyHarness().list(1, 10).list(2, 20);
-        b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 9000);
-        for (int id = 2; id < waiting; id++) {
-            b.take(id, SAFE, 1);
+    /** Measures work by allocated bytes: they don't depend on time, and each message that is examined adds some. */
+    private static long bytesAllocatedByTurn(int queued) {
+        PolicyHarness harness = new PolicyHarness().list(1, 10).list(2, 20);
+        harness.take(1, SAFE, 1);
+        harness.end(1, 0, Outcome.FULL, 9000);
+        for (int id = 2; id < queued; id++) {
+            harness.take(id, SAFE, 1);
         }
-        assertEquals(1, b.sends.size(), "all wait");
-        var thread = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        b.relay.endTurn(b.now);
-        long before = thread.getCurrentThreadAllocatedBytes();
-        b.relay.endTurn(b.now);
-        return thread.getCurrentThreadAllocatedBytes() - before;
+        assertEquals(1, harness.sends.size(), "all other messages are queued");
+        var threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
+        harness.relay.endTurn(harness.now);
+        long before = threads.getCurrentThreadAllocatedBytes();
+        harness.relay.endTurn(harness.now);
+        return threads.getCurrentThreadAllocatedBytes() - before;
     }
 
     @Test
-    void aTurnInWhichNothingMayGoCostsNoMoreForALongQueue() {
-        bytesOfATurnWith(10);
-        long few = bytesOfATurnWith(10);
-        long many = bytesOfATurnWith(1000);
+    void turnWithoutEligibleMessageCostsNoMoreForALongQueue() {
+        bytesAllocatedByTurn(10);
+        long few = bytesAllocatedByTurn(10);
+        long many = bytesAllocatedByTurn(1000);
         assertTrue(many <= few + 1000, few + " bytes with 10 messages, " + many + " with 1000");
     }
 
-    // ---- the wave ----
+    // ---- rounds ----
 
     @Test
-    void aWakeThatComesAMomentEarlyIsAskedForAgain() {
-        PolicyHarness b = new PolicyHarness();
-        b.take(1, SAFE, 1);
-        b.until(15_990);
-        int asked = b.wakes.size();
-        b.now = b.wakes.get(asked - 1) - 0.0004;
-        b.relay.wake(b.now);
-        b.relay.endTurn(b.now);
-        assertEquals(asked + 1, b.wakes.size());
+    void earlyWakeIsRequestedAgain() {
+        PolicyHarness harness = new PolicyHarness();
+        harness.take(1, SAFE, 1);
+        harness.until(15_990);
+        int requested = harness.wakes.size();
+        harness.now = harness.wakes.get(requested - 1) - 0.0004;
+        harness.relay.wake(harness.now);
+        harness.relay.endTurn(harness.now);
+        assertEquals(requested + 1, harness.wakes.size());
     }
 
     @Test
-    void aCopyJoinsAtHalfTheAimOnAnotherEndpoint() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.until(990);
-        assertEquals(1, b.sends.size());
-        b.until(1010);
-        assertEquals(2, b.sends.size());
-        assertFalse(b.sends.get(0).endpoint() == b.sends.get(1).endpoint());
+    void hedgeIsSentAtHalfTheLatencyTargetToAnotherEndpoint() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, SAFE, 1);
+        harness.until(990);
+        assertEquals(1, harness.sends.size());
+        harness.until(1010);
+        assertEquals(2, harness.sends.size());
+        assertFalse(harness.sends.get(0).endpoint() == harness.sends.get(1).endpoint());
     }
 
     @Test
-    void aCopyGoesToTheOnlyEndpointWhereThereIsNoOther() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
-        b.until(1010);
-        assertEquals(2, b.sends.size());
+    void hedgeIsSentToTheSameEndpointIfThereIsNoOther() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, SAFE, 1);
+        harness.until(1010);
+        assertEquals(2, harness.sends.size());
     }
 
     @Test
-    void theFirstDeliveryCancelsTheRest() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.until(1010);
-        b.end(1, 1, Outcome.DELIVERED);
-        assertEquals(List.of("1/0"), b.cancels);
-        b.end(1, 0, Outcome.CANCELLED);
-        b.until(20_000);
-        assertEquals(2, b.sends.size());
-        assertTrue(b.answers.isEmpty());
+    void firstDeliveryCancelsOtherAttempts() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, SAFE, 1);
+        harness.until(1010);
+        harness.end(1, 1, Outcome.DELIVERED);
+        assertEquals(List.of("1/0"), harness.cancels);
+        harness.end(1, 0, Outcome.CANCELLED);
+        harness.until(20_000);
+        assertEquals(2, harness.sends.size());
+        assertTrue(harness.answers.isEmpty());
     }
 
     @Test
-    void noNewWaveWhileAnAttemptIsOut() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.until(1010);
-        b.end(1, 0, Outcome.ERROR);
-        b.until(1900);
-        assertEquals(2, b.sends.size());
-        b.end(1, 1, Outcome.ERROR);
-        b.until(2600);
-        assertEquals(3, b.sends.size());
+    void noRetryRoundWhileAnAttemptIsInFlight() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, SAFE, 1);
+        harness.until(1010);
+        harness.end(1, 0, Outcome.ERROR);
+        harness.until(1900);
+        assertEquals(2, harness.sends.size());
+        harness.end(1, 1, Outcome.ERROR);
+        harness.until(2600);
+        assertEquals(3, harness.sends.size());
     }
 
     @Test
-    void theStarterAllowsOneCopyAndATenthOfFirstSends() {
-        PolicyHarness b = new PolicyHarness();
+    void throttleAllowsOneHedgeAndATenthOfFirstSends() {
+        PolicyHarness harness = new PolicyHarness();
         for (int i = 0; i < 5; i++) {
-            b.list(i, 10 + 2 * i, 11 + 2 * i);
+            harness.list(i, 10 + 2 * i, 11 + 2 * i);
         }
         for (int i = 0; i < 5; i++) {
-            b.take(i, SAFE, i);
+            harness.take(i, SAFE, i);
         }
-        b.until(1900);
-        assertEquals(6, b.sends.size(), "five first sends allow 1.5 copies, so one");
+        harness.until(1900);
+        assertEquals(6, harness.sends.size(), "five first sends allow 1.5 hedges, so one");
     }
 
     @Test
-    void noCopyWithoutAFreeSlot() {
-        PolicyHarness b = new PolicyHarness(2);
-        b.list(1, 10, 11);
-        b.list(2, 20);
-        b.take(1, SAFE, 1);
-        b.take(2, SAFE, 2);
-        b.until(1900);
-        assertEquals(2, b.sends.size());
+    void noHedgeWithoutAFreeSlot() {
+        PolicyHarness harness = new PolicyHarness(2);
+        harness.list(1, 10, 11);
+        harness.list(2, 20);
+        harness.take(1, SAFE, 1);
+        harness.take(2, SAFE, 2);
+        harness.until(1900);
+        assertEquals(2, harness.sends.size());
     }
 
     @Test
-    void anUnsafeMessageDoesNotRace() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1);
-        b.until(5000);
-        assertEquals(1, b.sends.size());
+    void unsafeMessageIsNotHedged() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, UNSAFE, 1);
+        harness.until(5000);
+        assertEquals(1, harness.sends.size());
     }
 
     @Test
-    void quickErrorsDoNotBurnAllAttempts() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.onSend = s -> b.endLater(s, Outcome.ERROR, 10);
-        b.take(1, SAFE, 1);
-        b.until(1000);
-        assertTrue(b.sends.size() >= 2 && b.sends.size() <= 5, "sends " + b.sends.size());
+    void quickErrorsDoNotUseUpAllAttempts() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.onSend = s -> harness.endLater(s, Outcome.ERROR, 10);
+        harness.take(1, SAFE, 1);
+        harness.until(1000);
+        assertTrue(harness.sends.size() >= 2 && harness.sends.size() <= 5, "sends " + harness.sends.size());
     }
 
     // ---- the rules ----
 
     @Test
-    void everyMessageIsAnsweredOnceBeforeItsTimeIsUp() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 9);
-        b.take(2, UNSAFE, 1);
-        b.until(15_990);
-        assertTrue(b.answers.isEmpty());
-        b.until(16_020);
-        assertEquals(List.of("refuse 1"), b.answers, "nothing ran; the other is still out");
-        b.end(2, 0, Outcome.TIMED_OUT);
-        assertEquals(List.of("refuse 1", "fail 2"), b.answers);
-        b.until(40_000);
-        assertEquals(2, b.answers.size());
-        assertEquals(1, b.sends.size());
+    void everyMessageIsAnsweredOnceBeforeItsDeadline() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, SAFE, 9);
+        harness.take(2, UNSAFE, 1);
+        harness.until(15_990);
+        assertTrue(harness.answers.isEmpty());
+        harness.until(16_020);
+        assertEquals(List.of("refuse 1"), harness.answers, "nothing ran; the other is still in flight");
+        harness.end(2, 0, Outcome.TIMED_OUT);
+        assertEquals(List.of("refuse 1", "fail 2"), harness.answers);
+        harness.until(40_000);
+        assertEquals(2, harness.answers.size());
+        assertEquals(1, harness.sends.size());
     }
 
     @Test
-    void anUnsafeMessageGoesAgainOnlyWithProofThatItNeverRan() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1);
-        b.end(1, 0, Outcome.UNREACHABLE);
-        b.until(1000);
-        assertEquals(2, b.sends.size());
-        b.end(1, 1, Outcome.ERROR);
-        assertEquals(List.of("fail 1"), b.answers);
-        b.until(20_000);
-        assertEquals(2, b.sends.size());
+    void unsafeMessageIsRetriedOnlyIfItCertainlyDidNotRun() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, UNSAFE, 1);
+        harness.end(1, 0, Outcome.UNREACHABLE);
+        harness.until(1000);
+        assertEquals(2, harness.sends.size());
+        harness.end(1, 1, Outcome.ERROR);
+        assertEquals(List.of("fail 1"), harness.answers);
+        harness.until(20_000);
+        assertEquals(2, harness.sends.size());
     }
 
     @Test
-    void aKeyedMessageIsNotRepeatedOutsideItsWindow() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, KEYED, 1);
-        b.until(4000);
-        int sent = b.sends.size();
+    void keyedMessageIsNotRepeatedOutsideItsWindow() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, KEYED, 1);
+        harness.until(4000);
+        int sent = harness.sends.size();
         for (int i = 0; i < sent; i++) {
-            b.end(1, i, Outcome.TIMED_OUT);
+            harness.end(1, i, Outcome.TIMED_OUT);
         }
-        b.until(16_100);
-        assertEquals(sent, b.sends.size());
-        assertEquals(1, b.answers.size());
+        harness.until(16_100);
+        assertEquals(sent, harness.sends.size());
+        assertEquals(1, harness.answers.size());
     }
 
     @Test
-    void aKeyedMessageStaysInTheZoneThatMayHaveRunIt() {
-        PolicyHarness b = new PolicyHarness();
-        b.entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
-        b.take(1, BY_ZONE, 1);
-        long first = b.sends.get(0).endpoint();
-        b.until(1010);
-        b.end(1, 0, Outcome.TIMED_OUT);
-        b.until(3000);
-        assertTrue(b.sends.size() >= 2);
-        assertTrue(b.sends.stream().allMatch(s -> s.endpoint() == first));
+    void keyedMessageStaysInTheZoneThatMayHaveRunIt() {
+        PolicyHarness harness = new PolicyHarness();
+        harness.entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
+        harness.take(1, BY_ZONE, 1);
+        long first = harness.sends.get(0).endpoint();
+        harness.until(1010);
+        harness.end(1, 0, Outcome.TIMED_OUT);
+        harness.until(3000);
+        assertTrue(harness.sends.size() >= 2);
+        assertTrue(harness.sends.stream().allMatch(s -> s.endpoint() == first));
     }
 
     @Test
-    void aFailureByZoneIsNeverARefusal() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, BY_ZONE, 1);
-        b.onSend = s -> b.endLater(s, Outcome.ERROR, 5);
-        b.end(1, 0, Outcome.ERROR);
-        b.until(16_100);
-        assertEquals(List.of("fail 1"), b.answers);
+    void failedMessageOfZoneKeyedClassIsNeverRefused() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, BY_ZONE, 1);
+        harness.onSend = s -> harness.endLater(s, Outcome.ERROR, 5);
+        harness.end(1, 0, Outcome.ERROR);
+        harness.until(16_100);
+        assertEquals(List.of("fail 1"), harness.answers);
     }
 
     @Test
-    void nothingNewGoesToADrainingOrGoneEndpoint() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.ERROR);
-        b.entry(10, 1, 0, 0, false);
-        b.until(5000);
-        assertEquals(1, b.sends.size());
-        b.relay.endpoints(b.now, true, List.of());
-        b.take(2, SAFE, 1);
-        b.until(6000);
-        assertEquals(1, b.sends.size());
+    void nothingIsSentToADrainingOrUnlistedEndpoint() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, SAFE, 1);
+        harness.end(1, 0, Outcome.ERROR);
+        harness.entry(10, 1, 0, 0, false);
+        harness.until(5000);
+        assertEquals(1, harness.sends.size());
+        harness.relay.endpoints(harness.now, true, List.of());
+        harness.take(2, SAFE, 1);
+        harness.until(6000);
+        assertEquals(1, harness.sends.size());
     }
 
     @Test
-    void aToldWaitStopsEverySendThere() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 700);
-        b.take(2, UNSAFE, 1);
-        b.take(3, KEYED, 1);
-        b.until(700);
-        assertEquals(1, b.sends.size());
-        b.until(4000);
-        assertTrue(b.sends.size() > 1);
+    void retryAfterStopsEverySendToTheDestination() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, SAFE, 1);
+        harness.end(1, 0, Outcome.FULL, 700);
+        harness.take(2, UNSAFE, 1);
+        harness.take(3, KEYED, 1);
+        harness.until(700);
+        assertEquals(1, harness.sends.size());
+        harness.until(4000);
+        assertTrue(harness.sends.size() > 1);
     }
 
-    /** Found on menu-delivery big-2: only the first message's wait of a shared call was kept. */
+    /** Guards against keeping only the retry-after of the first message of a shared call. */
     @Test
-    void eachMessageOfACallMayBeToldItsOwnWait() {
-        PolicyHarness b = new PolicyHarness().entry(10, 1, 1, 0, true);
-        b.takeTogether(2, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 0);
-        b.end(2, 0, Outcome.FULL, 3000);
-        b.until(3000);
-        assertEquals(2, b.sends.size());
+    void eachMessageOfACallMayHaveItsOwnRetryAfter() {
+        PolicyHarness harness = new PolicyHarness().entry(10, 1, 1, 0, true);
+        harness.takeTogether(2, SAFE, 1);
+        harness.end(1, 0, Outcome.FULL, 0);
+        harness.end(2, 0, Outcome.FULL, 3000);
+        harness.until(3000);
+        assertEquals(2, harness.sends.size());
     }
 
     @Test
-    void aToldWaitBindsOneRouteWhereRoutesAreSeparate() {
-        PolicyHarness b = new PolicyHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
-        b.take(1, SAFE, 1);
-        b.end(1, 0, Outcome.FULL, 5000);
-        b.until(900);
-        assertEquals(2, b.sends.size());
-        assertFalse(b.sends.get(0).endpoint() == b.sends.get(1).endpoint());
+    void retryAfterAppliesToOneOfSeparateRoutes() {
+        PolicyHarness harness = new PolicyHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
+        harness.take(1, SAFE, 1);
+        harness.end(1, 0, Outcome.FULL, 5000);
+        harness.until(900);
+        assertEquals(2, harness.sends.size());
+        assertFalse(harness.sends.get(0).endpoint() == harness.sends.get(1).endpoint());
     }
 
     @Test
-    void messagesOfOneKeyGoOneAtATimeAsTakenAndRestAfterADoubtfulEnd() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1, "k");
-        b.take(2, UNSAFE, 1, "k");
-        b.take(3, UNSAFE, 1, "other");
-        assertEquals(List.of(1L, 3L), b.sent());
-        b.end(1, 0, Outcome.TIMED_OUT);
-        b.until(490);
-        assertEquals(List.of(1L, 3L), b.sent());
-        b.until(600);
-        assertEquals(List.of(1L, 3L, 2L), b.sent());
+    void messagesOfOneKeyGoInOrderAndAreQuarantinedAfterAnUncertainEnd() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, UNSAFE, 1, "k");
+        harness.take(2, UNSAFE, 1, "k");
+        harness.take(3, UNSAFE, 1, "other");
+        assertEquals(List.of(1L, 3L), harness.sent());
+        harness.end(1, 0, Outcome.TIMED_OUT);
+        harness.until(490);
+        assertEquals(List.of(1L, 3L), harness.sent());
+        harness.until(600);
+        assertEquals(List.of(1L, 3L, 2L), harness.sent());
     }
 
     @Test
-    void aWithdrawnMessageWithAnOpenAttemptStillHoldsItsKey() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1, "k");
-        b.take(2, UNSAFE, 1, "k");
-        b.relay.withdrawn(b.now, 1);
-        b.until(300);
-        assertEquals(List.of(1L), b.sent());
-        b.end(1, 0, Outcome.DELIVERED);
-        assertEquals(List.of(1L, 2L), b.sent());
+    void withdrawnMessageWithAnAttemptInFlightStillHoldsItsKey() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.take(1, UNSAFE, 1, "k");
+        harness.take(2, UNSAFE, 1, "k");
+        harness.relay.withdrawn(harness.now, 1);
+        harness.until(300);
+        assertEquals(List.of(1L), harness.sent());
+        harness.end(1, 0, Outcome.DELIVERED);
+        assertEquals(List.of(1L, 2L), harness.sent());
     }
 
     // ---- misuse ----
 
     @Test
     void misuseThrowsAndLateEventsAreIgnored() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
-        assertThrows(IllegalArgumentException.class, () -> b.end(7, 0, Outcome.DELIVERED));
-        assertThrows(IllegalArgumentException.class, () -> b.end(1, 3, Outcome.DELIVERED));
-        assertThrows(IllegalArgumentException.class, () -> b.take(1, SAFE, 1));
-        assertThrows(IllegalArgumentException.class, () -> b.take(2, 17, 1));
-        assertThrows(IllegalArgumentException.class, () -> b.relay.wake(b.now - 1));
-        b.relay.withdrawn(b.now, 99);
-        b.relay.wake(b.now);
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, SAFE, 1);
+        assertThrows(IllegalArgumentException.class, () -> harness.end(7, 0, Outcome.DELIVERED));
+        assertThrows(IllegalArgumentException.class, () -> harness.end(1, 3, Outcome.DELIVERED));
+        assertThrows(IllegalArgumentException.class, () -> harness.take(1, SAFE, 1));
+        assertThrows(IllegalArgumentException.class, () -> harness.take(2, 17, 1));
+        assertThrows(IllegalArgumentException.class, () -> harness.relay.wake(harness.now - 1));
+        harness.relay.withdrawn(harness.now, 99);
+        harness.relay.wake(harness.now);
     }
 
-    // ---- a random sequence against all rules ----
+    // ---- all rules under random events ----
 
     @Test
     void randomEventsKeepTheRules() {
         for (int seed = 0; seed < 30; seed++) {
-            new RandomDay(seed).run();
+            new RandomRun(seed).run();
         }
     }
 
-    /** A seeded day of random ends, drains and withdrawals; the recorder checks the rules at each action. */
-    private static final class RandomDay {
+    /** Seeded random outcomes, drains and withdrawals; the strict harness checks the rules at each action. */
+    private static final class RandomRun {
         private final Random random;
-        private final PolicyHarness b;
+        private final PolicyHarness harness;
 
-        RandomDay(int seed) {
+        RandomRun(int seed) {
             random = new Random(seed);
-            b = new PolicyHarness(4 + seed % 5);
-            b.strict = true;
+            harness = new PolicyHarness(4 + seed % 5);
+            harness.strict = true;
         }
 
         void run() {
-            for (int d = 0; d < 4; d++) {
-                b.entry(10 * d, d, d % 3, 0, true).entry(10 * d + 1, d, d % 3, 1, true);
+            for (int destination = 0; destination < 4; destination++) {
+                harness.entry(10 * destination, destination, destination % 3, 0, true)
+                        .entry(10 * destination + 1, destination, destination % 3, 1, true);
             }
             Outcome[] outcomes = Outcome.values();
-            b.onSend = s -> {
+            harness.onSend = s -> {
                 Outcome outcome = random.nextInt(3) > 0 ? Outcome.DELIVERED : outcomes[random.nextInt(6)];
-                double took = outcome == Outcome.TIMED_OUT ? s.timeout() : Math.min(s.timeout(),
+                double tookMs = outcome == Outcome.TIMED_OUT ? s.timeout() : Math.min(s.timeout(),
                         random.nextInt(1500));
-                b.endLater(s, outcome, took);
+                harness.endLater(s, outcome, tookMs);
             };
             for (long id = 0; id < 300; id++) {
-                int type = random.nextInt(4);
-                b.take(id, type, random.nextInt(4), "k" + random.nextInt(5));
-                b.until(b.now + random.nextInt(120));
+                int messageClass = random.nextInt(4);
+                harness.take(id, messageClass, random.nextInt(4), "k" + random.nextInt(5));
+                harness.until(harness.now + random.nextInt(120));
                 if (random.nextInt(40) == 0) {
-                    int d = random.nextInt(4);
-                    b.entry(10 * d, d, d % 3, 0, random.nextBoolean());
+                    int destination = random.nextInt(4);
+                    harness.entry(10 * destination, destination, destination % 3, 0, random.nextBoolean());
                 }
                 if (random.nextInt(50) == 0) {
-                    b.withdraw(random.nextInt((int) id + 1));
+                    harness.withdraw(random.nextInt((int) id + 1));
                 }
             }
-            b.until(b.now + 40_000);
-            b.allAnswered();
+            harness.until(harness.now + 40_000);
+            harness.allAnswered();
         }
     }
 
-    // ---- operators ----
+    // ---- maintenance by operators ----
 
     @Test
-    void anEndpointThatIsLeftOutGetsNothingWhateverTheListSaysAndComesBackCold() {
-        PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.relay.maintenance(b.now, 10, true);
-        b.relay.maintenance(b.now, 10, true);
-        b.list(1, 10);
-        assertTrue(b.relay.avoids(10));
-        assertFalse(b.relay.avoids(11));
-        b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 50);
-        b.takeEvery(50, SAFE, 1, 10_000);
-        assertTrue(b.sends.stream().allMatch(s -> s.endpoint() == 11));
-        b.relay.maintenance(b.now, 10, false);
-        b.take(999, SAFE, 1);
-        assertEquals(10, b.sends.get(b.sends.size() - 1).endpoint(), "one call back undoes two out");
-        b.takeEvery(50, SAFE, 1, 12_000);
-        long early = b.sends.stream().filter(s -> s.endpoint() == 10).count();
-        assertTrue(early >= 1 && early <= 15, "used, but as a cold one: " + early);
-        int before = b.sends.size();
-        b.relay.maintenance(b.now, 10, false);
-        b.takeEvery(50, SAFE, 1, 24_000);
-        assertTrue(b.sends.stream().skip(before).filter(s -> s.endpoint() == 10).count() > 40);
+    void endpointInMaintenanceGetsNothingWhileListedAndComesBackCold() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
+        harness.relay.maintenance(harness.now, 10, true);
+        harness.relay.maintenance(harness.now, 10, true);
+        harness.list(1, 10);
+        assertTrue(harness.relay.avoids(10));
+        assertFalse(harness.relay.avoids(11));
+        harness.onSend = s -> harness.endLater(s, Outcome.DELIVERED, 50);
+        harness.takeEvery(50, SAFE, 1, 10_000);
+        assertTrue(harness.sends.stream().allMatch(s -> s.endpoint() == 11));
+        harness.relay.maintenance(harness.now, 10, false);
+        harness.take(999, SAFE, 1);
+        assertEquals(10, harness.sends.get(harness.sends.size() - 1).endpoint(),
+                "one return to service undoes a repeated maintenance order");
+        harness.takeEvery(50, SAFE, 1, 12_000);
+        long sentToReturned = harness.sends.stream().filter(s -> s.endpoint() == 10).count();
+        assertTrue(sentToReturned >= 1 && sentToReturned <= 15, "used, but in slow start: " + sentToReturned);
+        int before = harness.sends.size();
+        harness.relay.maintenance(harness.now, 10, false);
+        harness.takeEvery(50, SAFE, 1, 24_000);
+        assertTrue(harness.sends.stream().skip(before).filter(s -> s.endpoint() == 10).count() > 40);
     }
 
     @Test
-    void aCallThatWaitsForItsConnectionDoesNotStartOnceItsEndpointIsLeftOut() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
-        assertTrue(b.relay.mayStart(b.now, 1, 0));
-        b.relay.maintenance(b.now, 10, true);
-        assertFalse(b.relay.mayStart(b.now, 1, 0));
+    void callThatWaitsForItsConnectionDoesNotStartOnceItsEndpointIsInMaintenance() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.take(1, SAFE, 1);
+        assertTrue(harness.relay.mayStart(harness.now, 1, 0));
+        harness.relay.maintenance(harness.now, 10, true);
+        assertFalse(harness.relay.mayStart(harness.now, 1, 0));
     }
 
     // ---- faults ----
 
     @Test
-    void aMessageThatCanNotBeSentHoldsUpNoOther() {
-        PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.onSend = s -> {
+    void failingSendDoesNotHoldUpOtherMessages() {
+        PolicyHarness harness = new PolicyHarness().list(1, 10);
+        harness.onSend = s -> {
             if (s.message() == 1) {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("an injected fault");
             }
         };
-        assertThrows(IllegalStateException.class, () -> b.takeTogether(2, SAFE, 1));
-        assertEquals(List.of(1L, 2L), b.sent());
+        assertThrows(IllegalStateException.class, () -> harness.takeTogether(2, SAFE, 1));
+        assertEquals(List.of(1L, 2L), harness.sent());
     }
 
-    // ---- the module's size ----
+    // ---- size of the scheduler's source ----
 
     @Test
-    void theModuleStaysSmall() throws Exception {
+    void schedulerSourceStaysWithinItsSizeLimits() throws Exception {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/starlingvalve/DeliveryScheduler.java"));
-        assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1200, "the operators' limit");
+        assertTrue(lines.stream().filter(l -> !l.isBlank()).count() <= 1200, "too many non-blank lines");
         assertTrue(lines.stream().allMatch(l -> l.length() <= 110));
     }
 }
--- a/src/test/java/starlingvalve/MessageClasses.java
+++ b/src/test/java/starlingvalve/MessageClasses.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import starlingvalve.DeliveryPolicy.Effect;
 
-/** The message classes of the module's tests, and the numbers of those that tests name. */
+/** Message classes of the scheduler's tests, with constants for the indexes of those that tests refer to. */
 final class MessageClasses {
     static final int SAFE = 0;
     static final int KEYED = 1;
-    /** Its messages go in order. */
+    /** Unsafe to repeat; its messages are kept in order by key. */
     static final int UNSAFE = 2;
-    /** It may be repeated within its zone only. */
+    /** Keyed; repeats are dropped within one zone only. */
     static final int BY_ZONE = 3;
-    /** Its deadline is its aim. */
+    /** Safe; its deadline equals its latency target, so that it is never late. */
     static final int NEVER_LATE = 5;
 
     static final List<DeliveryPolicy.MessageClass> CLASSES = List.of(
--- a/src/test/java/starlingvalve/RecentEventsTest.java
+++ b/src/test/java/starlingvalve/RecentEventsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Counts over a sliding window. */
+/** Counts of events in a sliding window. */
 class RecentEventsTest {
     private static final double PERIOD_MS = 1000;
 
@@ -13,7 +13,7 @@
     private final RecentEvents events = new RecentEvents(() -> now, PERIOD_MS);
 
     @Test
-    void anEventCountsUntilItsPeriodIsOver() {
+    void eventCountsUntilThePeriodHasPassed() {
         events.add();
         now = 400;
         events.add();
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void theCountUntilTheLatestStaysAsItGoesBy() {
+    void countUntilLatestDoesNotChangeAsTimePasses() {
         events.add();
         events.add();
         now = 5 * PERIOD_MS;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aRestoredCountTakesThePlaceOfWhatWasCounted() {
+    void restoredCountReplacesEarlierEvents() {
         events.add();
         events.restore(3, now);
         assertEquals(3, events.count());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void withoutAnEventTheLatestIsBeforeNothing() {
+    void latestTimeWithoutEventsComparesAsFalse() {
         assertFalse(events.latestAt() < Double.POSITIVE_INFINITY);
     }
 }
