--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -70,7 +70,7 @@
     private static final int MIN_RATE_REFUSALS = 2;
     private static final double DESTINATION_IDLE_MS = 60_000; // without a send; then pacing starts anew
 
-    private static final double CLOCK_MARGIN_MS = 1; // for clock rounding: of retry-afters and early wakes
+    private static final double CLOCK_MARGIN_MS = 1; // clocks are rounded: for retry-afters, early wakes
 
     // Health.
     /** Failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
@@ -83,8 +83,8 @@
     /** Failures or refusals in a row, over this time or among recovered messages, that mean down. */
     private static final int UNAVAILABLE_FAILURES = 3;
     private static final double UNAVAILABLE_MS = 2500;
-    private static final double MIN_PROBE_INTERVAL_MS = 500; // and this times the senders at most
-    private static final double MAX_INTERVAL_WARM_UPS = 4; // longest interval in a slow start
+    private static final double MIN_PROBE_INTERVAL_MS = 500; // the longest is this times the senders
+    private static final double MAX_INTERVAL_WARM_UPS = 4; // times the warm-up: longest in slow start
     private static final double SLOW_START_BUDGET_SHARE = 0.7; // of the overload budget
     private static final double SLOW_START_EXTRA_CALLS = 2; // above the budget, to allow for chance
     private static final double RATE_PERIOD_MS = 10_000; // over which sends, demand and deliveries average
@@ -247,7 +247,7 @@
         }
     }
 
-    /** An attempt that another one followed has had its hedge, whether or not that is still in flight. */
+    /** Watches attempts in flight; one that another followed was hedged, be that one in flight or not. */
     private void watchRestored(Delivery delivery) {
         for (Attempt attempt : delivery.attempts) {
             boolean hedged = delivery.attemptsInFlight > 1
@@ -456,7 +456,7 @@
 
     /** Sends queued messages in order of rank, as far as the eligibility checks and the slots allow. */
     private void dispatch() {
-        // A destination that can't take a call stays so for this turn: checking its messages would be costly.
+        // A destination without room for a call has none all turn; checking its messages costs most time.
         for (Destination destination : destinations.values()) {
             destination.eligible = destination.queued > 0 && destination.canTakeCall();
             destination.rankHorizonMs = destination.eligible
@@ -620,7 +620,7 @@
         endMessage(delivery);
     }
 
-    /** Ends a message and cancels its attempts in flight. */
+    /** Ends a message and cancels its attempts in flight, where the settings allow that. */
     private void endMessage(Delivery delivery) {
         if (delivery.ended) {
             return;
@@ -866,7 +866,7 @@
                     / members.size();
         }
 
-        /** Whether queued messages of at least equal worth take until its deadline, even at growing rates. */
+        /** Whether queued messages of no less worth outlast the message's deadline, even at growing rates. */
         boolean queueOutlasts(Delivery delivery) {
             long ahead = queue.stream().filter(other -> other.destination == this
                     && other.type.worth() >= delivery.type.worth()).count();
@@ -881,7 +881,7 @@
                     .mapToDouble(e -> Math.max(e.limiter.retryAfterUntil, e.nextCallAllowedAt()));
         }
 
-        /** When the first of them may be called; now where no endpoint is in service. */
+        /** When the first endpoint may be called; now where none is in service. */
         double nextCallAt() {
             return Math.max(clock, nextCallTimes().min().orElse(clock));
         }
