--- a/src/main/java/starlingvalve/net/AcceptedMessage.java
+++ b/src/main/java/starlingvalve/net/AcceptedMessage.java
@@ -14,27 +14,27 @@
     final String messageClass;
     final String tenant;
     /** The idempotency key, which goes on to the endpoint. */
-    final Optional<String> key;
+    final Optional<String> idempotencyKey;
     /** What it is about: messages of one thread go out in order, in classes that keep it. */
-    final Optional<String> thread;
+    final Optional<String> orderingKey;
     final long destination;
     /** By the journal's {@link SteadyClock}, since it must hold in a later life. */
     final long deadlineMs;
     final byte[] body;
     final List<Attempt> attempts = new ArrayList<>();
     /** So many of them, from the first, are in the journal. */
-    int recorded;
-    Optional<Notice> owed = Optional.empty();
+    int journalledAttempts;
+    Optional<Notice> pendingNotice = Optional.empty();
     /** Bytes of its records in the journal. */
     long bytes;
     /** Answers to requests with its id of which it is not known yet whether they were written. */
-    private int answersOut;
+    private int pendingAnswers;
     /** Its client has heard that it was taken; what comes back from the journal counts as heard. */
-    boolean told;
+    boolean acceptanceAcknowledged;
     /** An answer has been read that tells its end, though the module may not know yet: nothing is written for it now. */
-    boolean endRead;
+    boolean endReceived;
     /** Nothing may be sent for it any more: delivered, over, or ended by a notice. */
-    boolean over;
+    boolean ended;
 
     /**
      * An attempt; from its first byte on it may have run, whatever becomes of this process, unless its end proves
@@ -62,37 +62,37 @@
     /** What is known of whether a client has heard that the message was taken. */
     enum Acknowledgement {
         /** One has. */
-        HEARD,
+        ACKNOWLEDGED,
         /** An answer is still to be written. */
-        OPEN,
+        PENDING,
         /** None has, and none will. */
-        UNHEARD
+        UNACKNOWLEDGED
     }
 
-    AcceptedMessage(long number, String id, String messageClass, String tenant, Optional<String> key,
-            Optional<String> thread, long destination, long deadlineMs, byte[] body) {
+    AcceptedMessage(long number, String id, String messageClass, String tenant, Optional<String> idempotencyKey,
+            Optional<String> orderingKey, long destination, long deadlineMs, byte[] body) {
         this.number = number;
         this.id = id;
         this.messageClass = messageClass;
         this.tenant = tenant;
-        this.key = key;
-        this.thread = thread;
+        this.idempotencyKey = idempotencyKey;
+        this.orderingKey = orderingKey;
         this.destination = destination;
         this.deadlineMs = deadlineMs;
         this.body = body;
     }
 
-    /** One more request with its id is answered; {@link #answered} follows. */
-    void answers() {
-        answersOut++;
+    /** One more request with its id is answered; {@link #answerCompleted} follows. */
+    void addPendingAnswer() {
+        pendingAnswers++;
     }
 
     /** An answer was written, or never will be. */
-    Acknowledgement answered(boolean written) {
-        answersOut = Math.max(0, answersOut - 1);
+    Acknowledgement answerCompleted(boolean written) {
+        pendingAnswers = Math.max(0, pendingAnswers - 1);
         if (written) {
-            return Acknowledgement.HEARD;
+            return Acknowledgement.ACKNOWLEDGED;
         }
-        return answersOut > 0 ? Acknowledgement.OPEN : Acknowledgement.UNHEARD;
+        return pendingAnswers > 0 ? Acknowledgement.PENDING : Acknowledgement.UNACKNOWLEDGED;
     }
 }
--- a/src/main/java/starlingvalve/net/AfterPendingReads.java
+++ b/src/main/java/starlingvalve/net/AfterPendingReads.java
@@ -14,12 +14,12 @@
     }
 
     /** Cancelled too late, the task still runs: it has to see for itself that it is of no more use. */
-    static Future<?> in(EventExecutor loop, long delay, TimeUnit unit, Runnable task) {
-        return loop.schedule(() -> next(loop, task), delay, unit);
+    static Future<?> schedule(EventExecutor loop, long delay, TimeUnit unit, Runnable task) {
+        return loop.schedule(() -> execute(loop, task), delay, unit);
     }
 
     /** Runs a task once the loop has read what has come by now. */
-    static void next(EventExecutor loop, Runnable task) {
+    static void execute(EventExecutor loop, Runnable task) {
         loop.schedule(task, 0, TimeUnit.NANOSECONDS);
     }
 }
--- a/src/main/java/starlingvalve/net/AgentConnection.java
+++ b/src/main/java/starlingvalve/net/AgentConnection.java
@@ -98,7 +98,7 @@
         Request mine = new Request(then);
         current = mine;
         failedHere = false;
-        mine.timer = AfterPendingReads.in(loop, limitMs, TimeUnit.MILLISECONDS, () -> fail(mine));
+        mine.timer = AfterPendingReads.schedule(loop, limitMs, TimeUnit.MILLISECONDS, () -> fail(mine));
         long quietNanos = quiet.remainingNanos();
         if (isConnected() && quietNanos > 0) {
             loop.schedule(() -> start(mine, request), quietNanos, TimeUnit.NANOSECONDS);
--- a/src/main/java/starlingvalve/net/DeadlineWatchdog.java
+++ b/src/main/java/starlingvalve/net/DeadlineWatchdog.java
@@ -60,7 +60,7 @@
         long checkMs = byDeadline.first().deadlineMs + GRACE_MS;
         if (checkMs < nextCheckMs) {
             nextCheckMs = checkMs;
-            AfterPendingReads.in(loop, Math.max(0, checkMs - clockMs.getAsLong()), TimeUnit.MILLISECONDS,
+            AfterPendingReads.schedule(loop, Math.max(0, checkMs - clockMs.getAsLong()), TimeUnit.MILLISECONDS,
                     () -> check(checkMs));
         }
     }
--- a/src/main/java/starlingvalve/net/EndpointRequests.java
+++ b/src/main/java/starlingvalve/net/EndpointRequests.java
@@ -25,7 +25,7 @@
     static FullHttpRequest single(InetSocketAddress endpoint, AcceptedMessage message, long budgetMs) {
         FullHttpRequest request = request(endpoint, SINGLE_PATH, Unpooled.wrappedBuffer(message.body), budgetMs);
         request.headers().set("X-Call-Id", message.id);
-        message.key.ifPresent(key -> request.headers().set("Idempotency-Key", key));
+        message.idempotencyKey.ifPresent(idempotencyKey -> request.headers().set("Idempotency-Key", idempotencyKey));
         return request;
     }
 
@@ -45,7 +45,7 @@
     }
 
     private static byte[] headLine(AcceptedMessage message) {
-        String line = message.id + " " + message.key.orElse(NO_KEY) + " " + message.body.length + LINE_END;
+        String line = message.id + " " + message.idempotencyKey.orElse(NO_KEY) + " " + message.body.length + LINE_END;
         return line.getBytes(StandardCharsets.ISO_8859_1);
     }
 
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -355,7 +355,7 @@
             this.held = held;
             this.attempt = attempt;
             this.timeoutMs = timeoutMs;
-            this.timer = AfterPendingReads.in(loop, (long) Math.ceil(timeoutMs * 1000), TimeUnit.MICROSECONDS,
+            this.timer = AfterPendingReads.schedule(loop, (long) Math.ceil(timeoutMs * 1000), TimeUnit.MICROSECONDS,
                     this::timedOut);
         }
 
@@ -379,7 +379,7 @@
             long now = System.nanoTime();
             boolean mayReadOn = now - startedNanos < timeoutMs * 1e6 + READ_ON_NANOS;
             if (!left && mayReadOn && now - exchange.readAtNanos < READ_GAP_NANOS) {
-                AfterPendingReads.next(loop, this::timedOut);
+                AfterPendingReads.execute(loop, this::timedOut);
             } else {
                 leave(exchange.isBegun() ? Interruption.TIMED_OUT : Interruption.WITHHELD);
             }
@@ -408,8 +408,8 @@
          * a message that is over must not be sent again.
          */
         private void answered(AttemptOutcomes.Result result, double waitMs) {
-            if (result.endsMessage() && !held.endRead) {
-                held.endRead = true;
+            if (result.endsMessage() && !held.endReceived) {
+                held.endReceived = true;
                 if (done) {
                     boolean delivered = result.outcome() == Outcome.DELIVERED;
                     loop.execute(() -> ends.overAfterEnd(this, delivered));
@@ -539,7 +539,7 @@
         }
 
         private void write(Connection on) {
-            leaveUnless(call -> !call.held.endRead && call.begins());
+            leaveUnless(call -> !call.held.endReceived && call.begins());
             if (nobodyWaits()) {
                 on.rest();
             } else if (inputBarrier.isRecent()) {
--- a/src/main/java/starlingvalve/net/InputBarrier.java
+++ b/src/main/java/starlingvalve/net/InputBarrier.java
@@ -47,7 +47,7 @@
     private void readOn() {
         long now = nanos.getAsLong();
         passes++;
-        AfterPendingReads.next(loop, () -> allRead(now));
+        AfterPendingReads.execute(loop, () -> allRead(now));
     }
 
     private void allRead(long until) {
--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -130,19 +130,19 @@
     /** The attempt's first byte is about to be written: it counts as one that may have run from here on. */
     void begins(AcceptedMessage held, int attempt) throws IOException {
         AcceptedMessage.Attempt begun = held.attempts.get(attempt);
-        if (attempt < held.recorded) {
+        if (attempt < held.journalledAttempts) {
             append(held, JournalRecord.mark(JournalRecord.BEGUN, held, attempt));
         } else {
             record(held, attempt);
             append(held, JournalRecord.attempt(held, begun, true));
-            held.recorded++;
+            held.journalledAttempts++;
         }
         begun.neverRan = false;
     }
 
     /** It ended before it began, or its end proved that it never ran; if this is lost, a begun one may have. */
     void neverRan(AcceptedMessage held, int attempt) {
-        if (attempt >= held.recorded) {
+        if (attempt >= held.journalledAttempts) {
             record(held, attempt + 1);
         } else if (!held.attempts.get(attempt).neverRan) {
             held.attempts.get(attempt).neverRan = true;
@@ -152,9 +152,9 @@
 
     /** Records so many attempts, those that were not as not begun: later records know them by their places. */
     private void record(AcceptedMessage held, int attempts) {
-        while (held.recorded < attempts) {
-            record(held, JournalRecord.attempt(held, held.attempts.get(held.recorded), false));
-            held.recorded++;
+        while (held.journalledAttempts < attempts) {
+            record(held, JournalRecord.attempt(held, held.attempts.get(held.journalledAttempts), false));
+            held.journalledAttempts++;
         }
     }
 
@@ -169,7 +169,7 @@
     }
 
     private void owed(AcceptedMessage held, AcceptedMessage.Notice notice, FinishedMessage end) {
-        held.owed = Optional.of(notice);
+        held.pendingNotice = Optional.of(notice);
         keep(end);
         ByteArrayOutputStream records = new ByteArrayOutputStream();
         records.writeBytes(JournalRecord.owed(held, notice));
@@ -179,7 +179,7 @@
 
     /** Nothing more is owed for the message: a notice of its end was heard, or nobody ever heard it was taken. */
     void ended(AcceptedMessage held) {
-        ended(held, held.owed.map(notice -> finished.find(held.id, Long.MIN_VALUE)
+        ended(held, held.pendingNotice.map(notice -> finished.find(held.id, Long.MIN_VALUE)
                 .orElseGet(() -> FinishedMessage.noticed(held, notice))));
     }
 
@@ -389,11 +389,11 @@
         }
         for (AcceptedMessage held : live.values()) {
             bytes.write(JournalRecord.taken(held));
-            for (AcceptedMessage.Attempt attempt : held.attempts.subList(0, held.recorded)) {
+            for (AcceptedMessage.Attempt attempt : held.attempts.subList(0, held.journalledAttempts)) {
                 bytes.write(JournalRecord.attempt(held, attempt, !attempt.neverRan));
             }
-            if (held.owed.isPresent()) {
-                bytes.write(JournalRecord.owed(held, held.owed.get()));
+            if (held.pendingNotice.isPresent()) {
+                bytes.write(JournalRecord.owed(held, held.pendingNotice.get()));
             }
         }
         // Behind the notices, which alone don't tell whether their messages were delivered.
@@ -478,14 +478,14 @@
                 AcceptedMessage.Attempt attempt = new AcceptedMessage.Attempt(in.readUTF(), in.readLong());
                 attempt.neverRan = type == JournalRecord.UNBEGUN;
                 held.attempts.add(attempt);
-                held.recorded++;
+                held.journalledAttempts++;
             }
             case JournalRecord.BEGUN, JournalRecord.NEVER_RAN ->
                     held.attempts.get(in.readInt()).neverRan = type == JournalRecord.NEVER_RAN;
             case JournalRecord.OWED -> {
-                held.owed = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
-                held.over = true;
-                keepUnexpired(FinishedMessage.noticed(held, held.owed.get()));
+                held.pendingNotice = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
+                held.ended = true;
+                keepUnexpired(FinishedMessage.noticed(held, held.pendingNotice.get()));
             }
             case JournalRecord.ENDED -> {
                 live.remove(number);
--- a/src/main/java/starlingvalve/net/JournalRecord.java
+++ b/src/main/java/starlingvalve/net/JournalRecord.java
@@ -50,13 +50,13 @@
             out.writeUTF(held.id);
             out.writeUTF(held.messageClass);
             out.writeUTF(held.tenant);
-            out.writeBoolean(held.key.isPresent());
-            out.writeUTF(held.key.orElse(""));
+            out.writeBoolean(held.idempotencyKey.isPresent());
+            out.writeUTF(held.idempotencyKey.orElse(""));
             out.writeLong(held.destination);
             out.writeLong(held.deadlineMs);
             out.writeInt(held.body.length);
             out.write(held.body);
-            out.writeUTF(held.thread.orElse(""));
+            out.writeUTF(held.orderingKey.orElse(""));
         });
     }
 
--- a/src/main/java/starlingvalve/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -215,7 +215,7 @@
         if (onNewConnection && unansweredSince.isEmpty()) {
             unansweredSince = lastCheckAt;
         }
-        AfterPendingReads.in(loop, policy.patienceMs(), TimeUnit.MILLISECONDS, () -> {
+        AfterPendingReads.schedule(loop, policy.patienceMs(), TimeUnit.MILLISECONDS, () -> {
             if (!isAnswered(check)) {
                 check.unanswered();
             }
--- a/src/main/java/starlingvalve/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -48,7 +48,7 @@
 
     /** Whether the first byte of this attempt may be written now. */
     boolean maySend(AcceptedMessage held, int attempt) {
-        if (held.over || held.endRead) {
+        if (held.ended || held.endReceived) {
             return forbid(Violation.SENT_AFTER_END, held);
         }
         Optional<Repeats> repeats = classes.apply(held.messageClass);
@@ -72,7 +72,7 @@
 
     /** Whether the message may end now: once. */
     boolean mayEnd(AcceptedMessage held) {
-        return !held.over || forbid(Violation.ENDED_TWICE, held);
+        return !held.ended || forbid(Violation.ENDED_TWICE, held);
     }
 
     /** The platform has answered the notice of its end. */
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -145,7 +145,7 @@
     }
 
     private byte[] line(AcceptedMessage held) {
-        AcceptedMessage.Notice notice = held.owed.orElseThrow();
+        AcceptedMessage.Notice notice = held.pendingNotice.orElseThrow();
         ObjectNode line = json.createObjectNode().put("ref", held.id)
                 .put("result", notice.bounced() ? "bounced" : "dead");
         if (notice.bounced() && notice.waitMs() > 0) {
--- a/src/main/java/starlingvalve/net/RequestDeadline.java
+++ b/src/main/java/starlingvalve/net/RequestDeadline.java
@@ -49,7 +49,7 @@
     private void begin(ChannelHandlerContext ctx) {
         if (timer == null) {
             Future<?>[] mine = new Future<?>[1];
-            mine[0] = AfterPendingReads.in(ctx.executor(), limitMs, TimeUnit.MILLISECONDS, () -> {
+            mine[0] = AfterPendingReads.schedule(ctx.executor(), limitMs, TimeUnit.MILLISECONDS, () -> {
                 if (timer == mine[0]) {
                     expired(ctx);
                     ctx.close();
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -336,11 +336,11 @@
         Predicate<AcceptedMessage> heard = heardByClients(state, remembered);
         for (AcceptedMessage held : journal.held()) {
             inherited.held(held);
-            if (held.over) {
+            if (held.ended) {
                 notices.owe(held);
             } else {
                 addOpen(held);
-                held.told = heard.test(held);
+                held.acceptanceAcknowledged = heard.test(held);
             }
         }
         event(() -> relay.remember(openTurn(), clock - age, memory));
@@ -368,7 +368,7 @@
                 inherited.size(), "notices", notices.owed());
         long steady = journal.clock().nowMs();
         for (AcceptedMessage held : open.all()) {
-            if (held.told && !inModule.contains(held.number)) {
+            if (held.acceptanceAcknowledged && !inModule.contains(held.number)) {
                 events.add("takeover-not-in-module", "id", held.id, "class", held.messageClass, "attempts",
                         held.attempts.size(), "left_ms", held.deadlineMs - steady);
                 resume(held, steady);
@@ -414,7 +414,7 @@
     private void replay() {
         long steady = journal.clock().nowMs();
         for (AcceptedMessage held : journal.held()) {
-            if (held.over) {
+            if (held.ended) {
                 replayNotice(held, steady);
             } else {
                 resume(held, steady);
@@ -434,12 +434,12 @@
     /** A message goes on with what the journal knows of it; what the module can't take is owed its end all the same. */
     private void resume(AcceptedMessage held, long steady) {
         addOpen(held);
-        held.told = true;
+        held.acceptanceAcknowledged = true;
         int messageClass = config.classes().indexOf(held.messageClass);
         if (messageClass < 0) {
             Log.line("class " + held.messageClass + " is gone; its message is given up");
             giveUp(held, 0);
-        } else if (!FaultIsolation.run(() -> resume(held, messageClass, steady)) && !held.over) {
+        } else if (!FaultIsolation.run(() -> resume(held, messageClass, steady)) && !held.ended) {
             giveUp(held, 0);
         }
     }
@@ -475,14 +475,14 @@
     private void overdue(AcceptedMessage held) {
         openTurn();
         loop.execute(() -> {
-            if (held.over) {
+            if (held.ended) {
                 return;
             }
             if (!ownsMessages()) {
                 overdueInHandover(held);
                 return;
             }
-            events.add("overdue", "id", held.id, "class", held.messageClass, "told", held.told, "attempts",
+            events.add("overdue", "id", held.id, "class", held.messageClass, "told", held.acceptanceAcknowledged, "attempts",
                     held.attempts.size(), "module", relay.open().contains(held.number));
             giveUp(held, FAULT_RETRY_AFTER_MS);
         });
@@ -492,7 +492,7 @@
     private void overdueInHandover(AcceptedMessage held) {
         overdueInHandover.add(held);
         events.add("overdue-in-handover", "id", held.id, "class", held.messageClass, "attempts", held.attempts.size());
-        held.owed = Optional.of(notice(held, FAULT_RETRY_AFTER_MS));
+        held.pendingNotice = Optional.of(notice(held, FAULT_RETRY_AFTER_MS));
         notices.tellOnce(held);
     }
 
@@ -516,7 +516,7 @@
     private DeliveryPolicy.Message message(AcceptedMessage held, int messageClass, double leftMs) {
         double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
         return new DeliveryPolicy.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
-                held.thread, left, held.destination);
+                held.orderingKey, left, held.destination);
     }
 
     // ---- the clock and turns ----
@@ -617,7 +617,7 @@
     @Override
     public void wakeAt(double time) {
         long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
-        AfterPendingReads.in(loop, Math.max(0, nanos), TimeUnit.NANOSECONDS, () -> event(() -> relay.wake(openTurn())));
+        AfterPendingReads.schedule(loop, Math.max(0, nanos), TimeUnit.NANOSECONDS, () -> event(() -> relay.wake(openTurn())));
     }
 
     @Override
@@ -760,17 +760,17 @@
             confirm(held);
         } else if (outcome == DeliveryPolicy.Outcome.DELIVERED) {
             overByAnswer(held, FinishedMessage.Result.DELIVERED);
-        } else if (!held.over && !outcome.mayHaveRun()) {
+        } else if (!held.ended && !outcome.mayHaveRun()) {
             journal.neverRan(held, attempt);
         }
-        boolean finished = held.over;
+        boolean finished = held.ended;
         event(() -> relay.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(held.number, attempt, outcome, took,
                 finished, waitMs, open)));
     }
 
     /** An answer tells that a message is over: nothing more is owed for it, and nothing may be sent. */
     private void overByAnswer(AcceptedMessage held, FinishedMessage.Result result) {
-        if (!held.over) {
+        if (!held.ended) {
             over(held, result == FinishedMessage.Result.DELIVERED ? Stats.End.SERVED : Stats.End.FAILED);
             journal.ended(held, result);
         }
@@ -781,7 +781,7 @@
      * such answer, so it also gets a notice, which does no harm where it does.
      */
     private void confirm(AcceptedMessage held) {
-        if (!held.over) {
+        if (!held.ended) {
             over(held, Stats.End.SERVED);
             events.add("confirming", "id", held.id, "attempts", held.attempts.size());
             journal.confirming(held);
@@ -794,7 +794,7 @@
     private void overAfterEnd(AcceptedMessage held, boolean delivered) {
         if (delivered) {
             confirm(held);
-        } else if (!held.over) {
+        } else if (!held.ended) {
             overByAnswer(held, FinishedMessage.Result.FAILED);
             event(() -> relay.withdrawn(openTurn(), held.number));
         }
@@ -807,7 +807,7 @@
     }
 
     private void over(AcceptedMessage held) {
-        held.over = true;
+        held.ended = true;
         untried.ended(held.number);
         open.remove(held);
         watchdog.forget(held);
@@ -972,11 +972,11 @@
 
     /** Each request with its id gets an answer of its own; as long as one may be heard, the message is kept. */
     private SubmissionServer.Verdict taken(AcceptedMessage held) {
-        held.answers();
+        held.addPendingAnswer();
         return SubmissionServer.Verdict.taken(written -> {
-            AcceptedMessage.Acknowledgement hearing = held.answered(written);
-            if (hearing != AcceptedMessage.Acknowledgement.OPEN) {
-                answered(held, hearing == AcceptedMessage.Acknowledgement.HEARD);
+            AcceptedMessage.Acknowledgement hearing = held.answerCompleted(written);
+            if (hearing != AcceptedMessage.Acknowledgement.PENDING) {
+                answered(held, hearing == AcceptedMessage.Acknowledgement.ACKNOWLEDGED);
             }
         });
     }
@@ -988,10 +988,10 @@
                     () -> answered(held, heard));
             return;
         }
-        if (held.told || held.over) {
+        if (held.acceptanceAcknowledged || held.ended) {
             return;
         }
-        held.told = heard;
+        held.acceptanceAcknowledged = heard;
         if (!heard) {
             // A client that never heard of its being taken is owed nothing, and will come again.
             events.add("taken-unheard", "id", held.id);
@@ -1128,7 +1128,7 @@
                 ArrayNode names = state.putArray("endpoints");
                 registry.ids().forEach(names::add);
                 ArrayNode unheard = state.putArray("unheard");
-                open.all().stream().filter(held -> !held.told).forEach(held -> unheard.add(held.number));
+                open.all().stream().filter(held -> !held.acceptanceAcknowledged).forEach(held -> unheard.add(held.number));
                 state.set("list", discovery.list());
                 state.set("memory", HandoverConnection.JSON.valueToTree(relay.memory(openTurn())));
                 return Optional.of(state);
@@ -1377,7 +1377,7 @@
             answering.clear();
             unanswered.forEach(verdict -> event(() -> verdict.answered().accept(true)));
             for (AcceptedMessage held : inherited.allHeld()) {
-                if (!held.over) {
+                if (!held.ended) {
                     event(() -> Sender.this.answered(held, true));
                 }
             }
@@ -1428,7 +1428,7 @@
             ended();
         } else if (System.nanoTime() - begun >= TimeUnit.MILLISECONDS.toNanos(closingMs)) {
             // Answers that have come by now are read first, however late this is.
-            AfterPendingReads.next(loop, this::ended);
+            AfterPendingReads.execute(loop, this::ended);
         } else {
             loop.schedule(() -> awaitIdle(begun), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/starlingvalve/net/TcpListener.java
+++ b/src/main/java/starlingvalve/net/TcpListener.java
@@ -104,7 +104,7 @@
             closing = true;
             acceptAll();
             deregister().addListener(deregistered ->
-                    AfterPendingReads.next(acceptor, () -> acceptRestAndClose(acceptor)));
+                    AfterPendingReads.execute(acceptor, () -> acceptRestAndClose(acceptor)));
         });
     }
 
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -65,7 +65,7 @@
     /** Waits until the loop has read all that had come to its sockets by now. */
     private void awaitRead() throws Exception {
         CompletableFuture<Void> read = new CompletableFuture<>();
-        loop.execute(() -> AfterPendingReads.next(loop, () -> read.complete(null)));
+        loop.execute(() -> AfterPendingReads.execute(loop, () -> read.complete(null)));
         read.get(30, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -161,7 +161,7 @@
         scriptCalls(StubServer.status(500, ""));
         start();
         handIn("once", "once");
-        StubServer.await("its notice is owed", () -> journalled().stream().anyMatch(held -> held.owed.isPresent()));
+        StubServer.await("its notice is owed", () -> journalled().stream().anyMatch(held -> held.pendingNotice.isPresent()));
         upgrade();
         reportStatus = 204;
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
--- a/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
+++ b/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
@@ -54,7 +54,7 @@
         }
         try (Journal journal = open()) {
             assertEquals(List.of("id-1"), ids(journal));
-            assertTrue(journal.held().iterator().next().over, "its notice is owed, and nothing else");
+            assertTrue(journal.held().iterator().next().ended, "its notice is owed, and nothing else");
             assertEquals(FinishedMessage.Result.DELIVERED, journal.finished("id-0").orElseThrow().result());
             assertEquals(FinishedMessage.Result.REFUSED, journal.finished("id-1").orElseThrow().result());
         }
@@ -200,7 +200,7 @@
 
     /** Ids and recorded attempts, in order. */
     private static List<String> describe(List<AcceptedMessage> held) {
-        return held.stream().map(h -> h.id + h.attempts.subList(0, h.recorded).stream()
+        return held.stream().map(h -> h.id + h.attempts.subList(0, h.journalledAttempts).stream()
                 .map(a -> a.endpoint + (a.neverRan ? "-" : "+")).toList()).toList();
     }
 }
--- a/src/test/java/starlingvalve/net/JournalTest.java
+++ b/src/test/java/starlingvalve/net/JournalTest.java
@@ -92,14 +92,14 @@
             assertEquals(2, held.size());
             AcceptedMessage a = held.get(0);
             assertEquals("id-0", a.id);
-            assertEquals(Optional.of("key"), a.key);
-            assertEquals(Optional.of("thread"), a.thread);
+            assertEquals(Optional.of("key"), a.idempotencyKey);
+            assertEquals(Optional.of("thread"), a.orderingKey);
             assertEquals(12_345, a.deadlineMs);
             assertArrayEquals(new byte[3], a.body);
             assertEquals(List.of("s-1", "s-2"), a.attempts.stream().map(x -> x.endpoint).toList());
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(200, a.attempts.get(1).sentAtMs);
-            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(1).owed);
+            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(1).pendingNotice);
             assertEquals(3, journal.nextNumber(), "numbers are not used again");
         }
     }
@@ -336,7 +336,7 @@
                     assertEquals(Optional.of(FinishedMessage.Result.DELIVERED), result(journal, id));
                 }
                 assertEquals(List.of("unheard"), journal.held().stream().map(held -> held.id).toList());
-                assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.held().iterator().next().owed.orElseThrow());
+                assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.held().iterator().next().pendingNotice.orElseThrow());
                 for (long before = 0; journal.size() >= before;) {
                     before = journal.size();
                     journal.ended(taken(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
--- a/src/test/java/starlingvalve/net/MessageRulesTest.java
+++ b/src/test/java/starlingvalve/net/MessageRulesTest.java
@@ -42,14 +42,14 @@
     void aMessageThatIsOverIsNotSent() {
         AcceptedMessage over = repeated("safe");
         assertTrue(rules.maySend(over, 1));
-        over.over = true;
+        over.ended = true;
         assertForbidden(rules.maySend(over, 1), Violation.SENT_AFTER_END);
     }
 
     @Test
     void aMessageWhoseEndIsReadIsNotSent() {
         AcceptedMessage read = repeated("safe");
-        read.endRead = true;
+        read.endReceived = true;
         assertForbidden(rules.maySend(read, 1), Violation.SENT_AFTER_END);
     }
 
@@ -77,7 +77,7 @@
     void aMessageEndsOnce() {
         AcceptedMessage held = repeated("safe");
         assertTrue(rules.mayEnd(held));
-        held.over = true;
+        held.ended = true;
         assertForbidden(rules.mayEnd(held), Violation.ENDED_TWICE);
     }
 
--- a/src/test/java/starlingvalve/net/RepeatedIdTest.java
+++ b/src/test/java/starlingvalve/net/RepeatedIdTest.java
@@ -69,7 +69,7 @@
         script(StubServer.status(500, ""));
         start();
         handIn("id", "once");
-        StubServer.await("the notice is owed", () -> journalled().stream().anyMatch(held -> held.owed.isPresent()));
+        StubServer.await("the notice is owed", () -> journalled().stream().anyMatch(held -> held.pendingNotice.isPresent()));
         assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
         killAndStart();
         assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
@@ -121,13 +121,13 @@
     void aMessageIsKeptAsLongAsOneOfItsAnswersMayBeHeard() {
         AcceptedMessage held = new AcceptedMessage(1, "id", "once", "acme", Optional.empty(), Optional.empty(), 7, 0,
                 new byte[0]);
-        held.answers();
-        held.answers();
-        assertEquals(AcceptedMessage.Acknowledgement.OPEN, held.answered(false));
-        assertEquals(AcceptedMessage.Acknowledgement.HEARD, held.answered(true));
-        held.answers();
-        held.answers();
-        assertEquals(AcceptedMessage.Acknowledgement.OPEN, held.answered(false));
-        assertEquals(AcceptedMessage.Acknowledgement.UNHEARD, held.answered(false));
+        held.addPendingAnswer();
+        held.addPendingAnswer();
+        assertEquals(AcceptedMessage.Acknowledgement.PENDING, held.answerCompleted(false));
+        assertEquals(AcceptedMessage.Acknowledgement.ACKNOWLEDGED, held.answerCompleted(true));
+        held.addPendingAnswer();
+        held.addPendingAnswer();
+        assertEquals(AcceptedMessage.Acknowledgement.PENDING, held.answerCompleted(false));
+        assertEquals(AcceptedMessage.Acknowledgement.UNACKNOWLEDGED, held.answerCompleted(false));
     }
 }
