--- a/src/main/java/starlingvalve/net/AcceptedMessage.java
+++ b/src/main/java/starlingvalve/net/AcceptedMessage.java
@@ -5,46 +5,59 @@
 import java.util.Optional;
 
 /**
- * A message that this sender has taken on, with all that its journal must know of it: who may send it again,
- * and how, is decided from this after a restart.
+ * A message that this sender has accepted, with everything that the journal stores about it. After a restart the
+ * decision whether and how the message may be sent again is based on this state.
  */
 final class AcceptedMessage {
+    /** Identifies the message in the journal and towards the delivery policy. */
     final long number;
+    /** Identifies the message towards clients and endpoints. */
     final String id;
     final String messageClass;
     final String tenant;
-    /** The idempotency key, which goes on to the endpoint. */
+    /** The idempotency key of the request, which is passed on to the endpoint. */
     final Optional<String> idempotencyKey;
-    /** What it is about: messages of one thread go out in order, in classes that keep it. */
+    /** Messages with the same ordering key are sent in order, in classes that require ordering. */
     final Optional<String> orderingKey;
     final long destination;
-    /** By the journal's {@link SteadyClock}, since it must hold in a later life. */
+    /** By the journal's {@link SteadyClock}, since it must stay valid after a restart. */
     final long deadlineMs;
     final byte[] body;
     final List<Attempt> attempts = new ArrayList<>();
-    /** So many of them, from the first, are in the journal. */
+    /** Number of attempts, counted from the first, that are written to the journal. */
     int journalledAttempts;
+    /** The notice of its end that the platform has not acknowledged yet. */
     Optional<Notice> pendingNotice = Optional.empty();
-    /** Bytes of its records in the journal. */
+    /** Total size of its records in the journal. */
     long bytes;
-    /** Answers to requests with its id of which it is not known yet whether they were written. */
+    /** Number of answers to requests with its id that are neither written yet nor known to be lost. */
     private int pendingAnswers;
-    /** Its client has heard that it was taken; what comes back from the journal counts as heard. */
+    /**
+     * Its client has received the answer that the message was accepted. Messages recovered from the journal count as
+     * acknowledged.
+     */
     boolean acceptanceAcknowledged;
-    /** An answer has been read that tells its end, though the module may not know yet: nothing is written for it now. */
+    /**
+     * An answer that ends the message was read, though the delivery policy may not know yet. No request is written for
+     * the message from then on.
+     */
     boolean endReceived;
-    /** Nothing may be sent for it any more: delivered, over, or ended by a notice. */
+    /**
+     * Nothing may be sent for it any more: it was delivered, an answer or a notice ended it, or its acceptance will
+     * never be acknowledged.
+     */
     boolean ended;
 
     /**
-     * An attempt; from its first byte on it may have run, whatever becomes of this process, unless its end proves
-     * otherwise.
+     * An attempt to deliver the message. Once its first byte may have been written, the endpoint may have processed the
+     * message, even if this process dies, unless the outcome of the attempt proves otherwise.
      */
     static final class Attempt {
         final String endpoint;
         final long sentAtMs;
-        /** The version of discovery's list by which the endpoint was chosen; -1 before discovery has answered. */
+        /** Version of the discovery list that the endpoint was chosen from; -1 before discovery has answered. */
         long listGeneration = -1;
+        /** The endpoint has certainly not processed the message in this attempt. */
         boolean neverRan = true;
 
         Attempt(String endpoint, long sentAtMs) {
@@ -53,19 +66,24 @@
         }
     }
 
-    /** The end that the platform must still hear of. */
+    /**
+     * A notice of a message's end to the platform.
+     *
+     * @param bounced whether the message was returned without having been processed, so that it may be submitted again
+     * @param waitMs the time after which a returned message may be submitted again, or 0
+     */
     record Notice(boolean bounced, double waitMs) {
-        /** Says nothing but that the message is over. */
+        /** Only confirms that the message has ended. */
         static final Notice CONFIRMATION = new Notice(false, 0);
     }
 
-    /** What is known of whether a client has heard that the message was taken. */
+    /** Whether a client has received the answer that the message was accepted. */
     enum Acknowledgement {
-        /** One has. */
+        /** At least one client has received it. */
         ACKNOWLEDGED,
-        /** An answer is still to be written. */
+        /** At least one answer is still to be written. */
         PENDING,
-        /** None has, and none will. */
+        /** No client has received it, and none will. */
         UNACKNOWLEDGED
     }
 
@@ -82,12 +100,12 @@
         this.body = body;
     }
 
-    /** One more request with its id is answered; {@link #answerCompleted} follows. */
+    /** Registers an answer to a request with its id; {@link #answerCompleted} follows for each. */
     void addPendingAnswer() {
         pendingAnswers++;
     }
 
-    /** An answer was written, or never will be. */
+    /** Registers that an answer was written, or never will be. */
     Acknowledgement answerCompleted(boolean written) {
         pendingAnswers = Math.max(0, pendingAnswers - 1);
         if (written) {
--- a/src/main/java/starlingvalve/net/AfterPendingReads.java
+++ b/src/main/java/starlingvalve/net/AfterPendingReads.java
@@ -5,20 +5,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What falls due by time, after what has come in by then. The loop reads, then runs what is due; while it read, the
- * time of a call or a wait may have passed, and an answer come that lies unread. So what is due waits for one more
- * reading: a task that is scheduled while tasks run is looked at only after it.
+ * Runs timed tasks only after the event loop has read all input that had arrived by their due time. The loop reads
+ * first and then runs the tasks that are due. During a long read phase a call's time-out may pass while its answer
+ * arrives and stays unread. Therefore a task that is due is scheduled once more: the loop considers tasks that were
+ * scheduled while it runs tasks only after its next read phase.
  */
 final class AfterPendingReads {
     private AfterPendingReads() {
     }
 
-    /** Cancelled too late, the task still runs: it has to see for itself that it is of no more use. */
+    /**
+     * Runs a task after a delay and one more read phase. The task still runs if it is cancelled after the delay, so it
+     * has to check itself whether it is still needed.
+     */
     static Future<?> schedule(EventExecutor loop, long delay, TimeUnit unit, Runnable task) {
         return loop.schedule(() -> execute(loop, task), delay, unit);
     }
 
-    /** Runs a task once the loop has read what has come by now. */
+    /** Runs a task once the loop has read the input that has arrived by now. */
     static void execute(EventExecutor loop, Runnable task) {
         loop.schedule(task, 0, TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/starlingvalve/net/AttemptOutcomes.java
+++ b/src/main/java/starlingvalve/net/AttemptOutcomes.java
@@ -3,35 +3,36 @@
 import starlingvalve.DeliveryPolicy.Outcome;
 
 /**
- * The outcome of an attempt, by the protocol's table; the only place that decides whether an attempt may have run.
+ * Derives the outcome of an attempt by the protocol's table. This is the only place that decides whether an attempt may
+ * have run, that is, whether the endpoint may have processed the message.
  *
  * <p>Two things prove that an attempt never ran: the last byte of its request was not written and never will be, or
- * its answer, read whole, says so; what comes behind a whole answer takes nothing from it, unless that may be an answer of
- * another status. An answer that is cut short or can't be read proves nothing, with one exception: the first line of the
- * answer to a single message, if it says 200.
+ * its complete answer says so. Bytes after a complete answer don't invalidate it, unless they may be an answer with
+ * another status. A truncated or unreadable answer proves nothing, with one exception: a status line with 200 in the
+ * answer to a single message proves that the message was delivered.
  */
 final class AttemptOutcomes {
-    /** What ended an attempt that got no whole answer. */
+    /** Why an attempt ended without a complete answer. */
     enum Interruption {
-        /** The connection did not come up. */
+        /** The connection could not be established. */
         CONNECT_FAILED,
-        /** The connection broke, or what came over it can't be read. */
+        /** The connection was lost, or the bytes received on it can't be parsed. */
         CONNECTION_LOST,
-        /** Its time was up. */
+        /** Its time-out passed. */
         TIMED_OUT,
-        /** The decision module needs it no more. */
+        /** The delivery policy does not need it any more. */
         CANCELLED,
-        /** It was called off before its first byte. */
+        /** It was withdrawn before its first byte was written. */
         WITHHELD
     }
 
-    /** What an answer with 503 refused, as far as its headers and its connection tell. */
+    /** What an answer with status 503 refused, judging by its headers and its connection. */
     enum Refusal {
-        /** The message: a limit, a full queue, an endpoint that is shut. */
+        /** The message: a limit is reached, a queue is full, or the endpoint refuses all calls for a while. */
         MESSAGE(Outcome.FULL),
-        /** The connection: it was new, and the refusal ends it. */
+        /** The connection: it was new, and is closed after this answer. */
         CONNECTION(Outcome.NO_CONNECTION),
-        /** The call: no slot of this sender was free. */
+        /** The call: this sender had no free slot. */
         SLOT(Outcome.NOT_SENT);
 
         private final Outcome outcome;
@@ -41,8 +42,10 @@
         }
 
         /**
+         * Determines what an answer refused.
+         *
          * @param noSlot whether the answer says that no slot was free
-         * @param newConnection whether it is the first answer of its connection
+         * @param newConnection whether it is the first answer on its connection
          * @param keepAlive whether its connection stays open
          */
         static Refusal of(boolean noSlot, boolean newConnection, boolean keepAlive) {
@@ -53,15 +56,15 @@
         }
     }
 
-    /** An outcome; {@code over} tells that the message has ended and nothing more is owed for it. */
-    record Result(Outcome outcome, boolean over) {
+    /** An outcome; {@code messageEnded} tells that the message has ended and needs no notice of its end. */
+    record Result(Outcome outcome, boolean messageEnded) {
         private static Result of(Outcome outcome) {
             return new Result(outcome, false);
         }
 
-        /** Whether its message must not be sent again, whatever becomes of its other attempts. */
+        /** Whether the message must not be sent again, whatever the outcome of its other attempts. */
         boolean endsMessage() {
-            return over || outcome == Outcome.DELIVERED;
+            return messageEnded || outcome == Outcome.DELIVERED;
         }
     }
 
@@ -77,9 +80,9 @@
     }
 
     /**
-     * The end of an attempt without a whole answer.
+     * The outcome of an attempt without a complete answer.
      *
-     * @param requestMayArrive whether the last byte of its request was written or may yet be
+     * @param requestMayArrive whether the last byte of its request was written or may still be written
      */
     static Outcome interrupted(Interruption cause, boolean requestMayArrive) {
         if (cause == Interruption.CANCELLED) {
@@ -92,11 +95,11 @@
     }
 
     /**
-     * What the status of an answer says of all messages of its exchange.
+     * The result that the status of an answer gives for each message of its exchange.
      *
-     * @param proven whether the answer was read whole, with nothing behind it that may be another one
-     * @param refusal what an answer with 503 refused
-     * @param messages how many messages the request carried
+     * @param proven whether the answer is complete, and followed by nothing that may be another answer
+     * @param refusal what an answer with status 503 refused
+     * @param messages number of messages in the request
      */
     static Result answered(int status, boolean proven, Refusal refusal, int messages) {
         if (status == OK && messages == 1) {
@@ -115,12 +118,12 @@
         };
     }
 
-    /** What a first line with 200 says of the message of its exchange, where that carried only one. */
+    /** The result that a status line with 200 gives for the message of an exchange with a single message. */
     static Result firstLineDelivered() {
         return Result.of(Outcome.DELIVERED);
     }
 
-    /** What a whole and clean answer to several messages says of one of them, by the protocol's word for it. */
+    /** The result that a complete answer to a batch gives for one of its messages, by the protocol's word for it. */
     static Result reported(String word) {
         return switch (word) {
             case "accepted" -> Result.of(Outcome.DELIVERED);
--- a/src/main/java/starlingvalve/net/DeadlineWatchdog.java
+++ b/src/main/java/starlingvalve/net/DeadlineWatchdog.java
@@ -10,49 +10,52 @@
 import java.util.function.LongSupplier;
 
 /**
- * Finds the messages whose time is up and which nobody has ended. The decision module ends each message before its
- * deadline; one that is still open a moment later was lost by a fault on its way, and its client is owed its end all the
- * same. It depends on nothing but the set of open messages and the clock.
+ * Finds the messages that are still open after their deadline. The delivery policy ends each message before its
+ * deadline; a message that is open a little later was lost through a fault, and its client must be notified all the
+ * same. The watchdog depends on nothing but the set of open messages and the clock.
  */
 final class DeadlineWatchdog {
-    /** After the deadline, by which the module ends a message; well before the end would count as late. */
+    /**
+     * Time after the deadline, by which the delivery policy ends a message, until the message counts as overdue; well
+     * below the time after which its end would count as late.
+     */
     static final long GRACE_MS = 100;
 
     private static final long NEVER = Long.MAX_VALUE;
 
     private final EventExecutor loop;
     private final LongSupplier clockMs;
-    private final Consumer<AcceptedMessage> overdue;
+    private final Consumer<AcceptedMessage> onOverdue;
     private final TreeSet<AcceptedMessage> byDeadline =
-            new TreeSet<>(Comparator.<AcceptedMessage>comparingLong(held -> held.deadlineMs)
-                    .thenComparingLong(held -> held.number));
+            new TreeSet<>(Comparator.<AcceptedMessage>comparingLong(message -> message.deadlineMs)
+                    .thenComparingLong(message -> message.number));
     private long nextCheckMs = NEVER;
     private boolean suspended;
 
-    /** By this clock, which is that of the messages' deadlines; {@code overdue} is told each such message once. */
-    DeadlineWatchdog(EventExecutor loop, LongSupplier clockMs, Consumer<AcceptedMessage> overdue) {
+    /** {@code clockMs} is the clock of the messages' deadlines; {@code onOverdue} gets each overdue message once. */
+    DeadlineWatchdog(EventExecutor loop, LongSupplier clockMs, Consumer<AcceptedMessage> onOverdue) {
         this.loop = loop;
         this.clockMs = clockMs;
-        this.overdue = overdue;
+        this.onOverdue = onOverdue;
     }
 
-    /** A message is open from now on. */
-    void watch(AcceptedMessage held) {
-        byDeadline.add(held);
+    /** Starts watching a message. */
+    void watch(AcceptedMessage message) {
+        byDeadline.add(message);
         schedule();
     }
 
-    /** A message has ended. */
-    void forget(AcceptedMessage held) {
-        byDeadline.remove(held);
+    /** Stops watching a message, which has ended. */
+    void forget(AcceptedMessage message) {
+        byDeadline.remove(message);
     }
 
-    /** Another process owns the messages: nothing is told any more. */
+    /** Reports no more messages, since another process owns them now. */
     void suspend() {
         suspended = true;
     }
 
-    /** At the first deadline; a check that was scheduled for a later one does no harm. */
+    /** Schedules a check for the first deadline; a check already scheduled for a later one stays and does no harm. */
     private void schedule() {
         if (suspended || byDeadline.isEmpty()) {
             return;
@@ -70,17 +73,17 @@
             nextCheckMs = NEVER;
         }
         if (!suspended) {
-            takeOverdue().forEach(overdue);
+            pollOverdue().forEach(onOverdue);
         }
         schedule();
     }
 
-    private List<AcceptedMessage> takeOverdue() {
-        List<AcceptedMessage> taken = new ArrayList<>();
-        long now = clockMs.getAsLong();
-        while (!byDeadline.isEmpty() && byDeadline.first().deadlineMs + GRACE_MS <= now) {
-            taken.add(byDeadline.pollFirst());
+    private List<AcceptedMessage> pollOverdue() {
+        List<AcceptedMessage> overdue = new ArrayList<>();
+        long nowMs = clockMs.getAsLong();
+        while (!byDeadline.isEmpty() && byDeadline.first().deadlineMs + GRACE_MS <= nowMs) {
+            overdue.add(byDeadline.pollFirst());
         }
-        return taken;
+        return overdue;
     }
 }
--- a/src/main/java/starlingvalve/net/DescriptorBudget.java
+++ b/src/main/java/starlingvalve/net/DescriptorBudget.java
@@ -7,44 +7,46 @@
 import java.util.stream.Stream;
 
 /**
- * How the file descriptors that the process may hold are divided. What the sender can't work without comes first:
- * the JVM's own files, the journal and its compacted copy, the listeners, the operators, and the connections to
- * discovery and for notices. The rest is shared by clients and connections to endpoints.
+ * Divides the file descriptors that the process may open. Descriptors that the sender can't work without are reserved
+ * first: for the JVM's own files, the journal and its compacted copy, the listeners, the operators' connections, and
+ * the connections to discovery and for notices. Clients and connections to endpoints share the rest.
  *
- * @param limit what the process may hold
- * @param reserved kept for neither clients nor endpoints
- * @param clients most connections of clients
- * @param idleEndpoints most connections to endpoints that are kept without a call
+ * @param limit number of descriptors that the process may open
+ * @param reserved descriptors that are available to neither clients nor endpoints
+ * @param clients limit on client connections
+ * @param idleEndpoints limit on idle connections to endpoints
  */
 record DescriptorBudget(int limit, int reserved, int clients, int idleEndpoints) {
     /**
-     * Connections that one reading of a listener accepts at most, by the default of the network library. A closed
-     * connection gives its descriptor back only with the next select, so those that make room still hold theirs.
+     * Largest number of connections that a listener accepts in one read loop, by the default of Netty. A closed
+     * connection releases its descriptor only with the next select, so connections that are closed to make room still
+     * hold theirs.
      */
     static final int ACCEPT_BURST = 16;
-    /** The JVM's own once all libraries are open; a process that starts with more has more reserved. */
+    /** Files of the JVM once all libraries are open; a process that starts with more open files reserves more. */
     private static final int JVM_FILES = 32;
-    /** Libraries and sources of random numbers that the JVM opens only when they are first needed. */
+    /** Libraries and random number sources that the JVM opens only on first use. */
     private static final int OPENED_LATER = 8;
-    /** The journal, its compacted copy, the lock and a second try at it, and a configuration that is read again. */
+    /** The journal, its compacted copy, the lock and a second attempt at it, and a configuration that is reloaded. */
     private static final int FILES = 5;
-    /** For clients, for operators, and for a new version of this sender, with its connection. */
+    /** The listeners for clients, for operators and for a successor process, and the successor's connection. */
     private static final int LISTENERS = 4;
-    /** To discovery and for notices: the one in use, and those that were given up while they came up; for checks. */
+    /** To discovery and for notices: those in use, and those given up while connecting; and those for checks. */
     private static final int AGENT_CONNECTIONS = 6 + ListLease.MOST_CHECKS;
     private static final int RESERVED_BESIDES_JVM = FILES + LISTENERS + AGENT_CONNECTIONS
             + OperatorServer.MOST_CONNECTIONS + 2 * ACCEPT_BURST;
-    /** Clients use at most one in so many descriptors for their requests. */
+    /** Clients use at most this fraction of the limit for their requests: one in three. */
     private static final int REQUEST_DIVISOR = 3;
 
     /**
-     * Divides a limit. Of what is not reserved clients get half, and never less than their requests may use; calls
-     * to endpoints, at most {@code calls} at once, come before both. Under a limit that can't hold all of this one
-     * client and one idle connection are left, and what is reserved but rarely all in use is cut into.
+     * Divides a limit. Clients get half of the descriptors that are not reserved, and no fewer than their requests may
+     * use. Calls to endpoints, at most {@code calls} at a time, take precedence over both client and idle connections.
+     * If the limit is too low for all of this, one client and one idle connection remain; they then use reserved
+     * descriptors, which are rarely all open.
      *
-     * @param limit what the process may hold
-     * @param openAtStart what it holds before the sender opens anything
-     * @param calls most calls to endpoints at once
+     * @param limit number of descriptors that the process may open
+     * @param openAtStart number of descriptors that are open before the sender opens any
+     * @param calls largest number of calls to endpoints at a time
      */
     static DescriptorBudget divide(int limit, int openAtStart, int calls) {
         int reserved = Math.max(JVM_FILES, openAtStart + OPENED_LATER) + RESERVED_BESIDES_JVM;
@@ -56,17 +58,17 @@
         return new DescriptorBudget(limit, reserved, clients, idleEndpoints);
     }
 
-    /** Descriptors that this process holds now; 0 where the system does not tell. */
-    static int openNow() {
+    /** Number of descriptors that this process has open now; 0 where the system does not provide it. */
+    static int openDescriptors() {
         try (Stream<Path> open = Files.list(Path.of("/proc/self/fd"))) {
-            // One of them is the listing itself.
+            // One of them belongs to the directory listing itself.
             return (int) open.count() - 1;
         } catch (IOException | UncheckedIOException e) {
             return 0;
         }
     }
 
-    /** For people. */
+    /** A description for the log. */
     @Override
     public String toString() {
         return limit + " descriptors: " + reserved + " reserved, " + clients + " for clients, " + idleEndpoints
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -428,7 +428,7 @@
             // Never at once: an end may be found while the module is being called.
             boolean open = toldOpen;
             double told = result.outcome() == Outcome.DELIVERED ? 0 : waitMs;
-            loop.execute(() -> ends.ended(this, result.outcome(), result.over(), told, open));
+            loop.execute(() -> ends.ended(this, result.outcome(), result.messageEnded(), told, open));
         }
     }
 
--- a/src/main/java/starlingvalve/net/FaultIsolation.java
+++ b/src/main/java/starlingvalve/net/FaultIsolation.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 
 /**
- * Keeps a fault of the program in one task from breaking off what others wait for: it is logged with its place, and the
- * caller goes on.
+ * Keeps an unexpected exception in one task from aborting work that others depend on: the exception is logged with its
+ * stack trace, and the caller continues.
  */
 final class FaultIsolation {
-    /** So many frames of a fault's stack are logged. */
+    /** Number of stack frames that are logged of an exception. */
     private static final int LOGGED_FRAMES = 8;
 
     private FaultIsolation() {
     }
 
-    /** Runs a task; whether it ended without a fault. */
+    /** Runs a task, and returns whether it completed without an exception. */
     static boolean run(Runnable task) {
         try {
             task.run();
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Logs a fault that the caller deals with. */
+    /** Logs an exception that the caller handles. */
     static void report(RuntimeException fault) {
         EventLog.ofThisProcess().add("fault", "cause", fault, "at",
                 Arrays.stream(fault.getStackTrace()).limit(LOGGED_FRAMES).toList());
--- a/src/main/java/starlingvalve/net/FinishedMessage.java
+++ b/src/main/java/starlingvalve/net/FinishedMessage.java
@@ -1,34 +1,34 @@
 package starlingvalve.net;
 
 /**
- * How a message that was taken on has ended. It is kept for as long as its id may come again: a client whose connection
- * closes under its request, or before it has read the answer, sends the same request once more.
+ * The final result of an accepted message. It is kept for as long as a request with the same id may arrive: a client
+ * whose connection closes during its request, or before it has read the answer, repeats the request.
  *
- * @param waitMs after how long a refused message may be handed in again, or 0
- * @param expiresAtMs by the journal's {@link SteadyClock}, since it must hold after a restart
+ * @param waitMs the time after which a refused message may be submitted again, or 0
+ * @param expiresAtMs by the journal's {@link SteadyClock}, since it must stay valid after a restart
  */
 record FinishedMessage(String id, Result result, double waitMs, long expiresAtMs) {
-    /** From its deadline on, an id may still come for so long: within this time a restarted sender serves again. */
+    /** Time after its deadline during which an id may still be repeated: a restarted sender serves again within it. */
     static final long REPEAT_GRACE_MS = 10_000;
 
-    /** The final answer. */
+    /** The result that a client gets when it repeats the request. */
     enum Result {
-        /** It has run. */
+        /** An endpoint has processed it. */
         DELIVERED,
-        /** Handed back: handing it in again, as a new message, is harmless. */
+        /** Returned without effect: submitting it again, as a new message, is safe. */
         REFUSED,
-        /** Given up, with no promise about its effect. */
+        /** Given up, with no guarantee about its effect. */
         FAILED
     }
 
-    /** The end of a message by a notice. */
-    static FinishedMessage noticed(AcceptedMessage message, AcceptedMessage.Notice notice) {
+    /** The result of a message that was ended by a notice. */
+    static FinishedMessage endedByNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
         Result result = notice.bounced() ? Result.REFUSED : Result.FAILED;
         return new FinishedMessage(message.id, result, notice.waitMs(), message.deadlineMs + REPEAT_GRACE_MS);
     }
 
-    /** The end of a message that an answer tells. */
-    static FinishedMessage ended(AcceptedMessage message, Result result) {
+    /** The result of a message that an endpoint's answer ended. */
+    static FinishedMessage endedByAnswer(AcceptedMessage message, Result result) {
         return new FinishedMessage(message.id, result, 0, message.deadlineMs + REPEAT_GRACE_MS);
     }
 
--- a/src/main/java/starlingvalve/net/FinishedMessages.java
+++ b/src/main/java/starlingvalve/net/FinishedMessages.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * The messages that have ended and may still be handed in again, by id. Where there are too many, those that expire
- * first give way.
+ * The messages that have ended and may still be submitted again, by id. When a limit on their number or size is
+ * exceeded, those that expire first are removed.
  */
 final class FinishedMessages {
-    /** Bounds the memory: some 4 MB with usual ids. */
+    /** Bounds the memory: about 4 MB with ids of the usual length. */
     private static final int MAX_MESSAGES = 16_384;
 
     private record Entry(FinishedMessage message, int bytes, long sequence) {
@@ -28,12 +28,12 @@
     private long bytes;
     private long sequence;
 
-    /** Keeps as many as their records in the journal take up so many bytes. */
+    /** {@code maxBytes} bounds the total size of the messages' records in the journal. */
     FinishedMessages(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Keeps a message, whose record takes up so many bytes. */
+    /** Adds a message whose record in the journal has this size, and removes messages to stay within the limits. */
     void add(FinishedMessage message, int recordBytes, long nowMs) {
         Optional.ofNullable(byId.get(message.id())).ifPresent(this::remove);
         Entry entry = new Entry(message, recordBytes, sequence++);
@@ -46,22 +46,23 @@
         }
     }
 
+    /** Finds the message with this id, unless it has expired. */
     Optional<FinishedMessage> find(String id, long nowMs) {
         return Optional.ofNullable(byId.get(id)).map(Entry::message).filter(message -> !message.isExpired(nowMs));
     }
 
-    /** All that can still come again. */
+    /** Returns all messages that may still be submitted again, in the order in which they expire. */
     List<FinishedMessage> unexpired(long nowMs) {
         removeExpired(nowMs);
         return byExpiry.stream().map(Entry::message).toList();
     }
 
-    /** Bytes of the records of all that are kept. */
+    /** Total size of the records of all messages that are kept. */
     long bytes() {
         return bytes;
     }
 
-    /** Forgets what can't come again. */
+    /** Removes the messages that can't be submitted again any more. */
     void removeExpired(long nowMs) {
         while (!byExpiry.isEmpty() && byExpiry.first().message.isExpired(nowMs)) {
             remove(byExpiry.first());
--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -160,12 +160,12 @@
 
     /** The message has ended by a notice that is still to be heard. */
     void owed(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        owed(held, notice, FinishedMessage.noticed(held, notice));
+        owed(held, notice, FinishedMessage.endedByNotice(held, notice));
     }
 
     /** The message was delivered, which a notice that is still to be heard confirms. */
     void confirming(AcceptedMessage held) {
-        owed(held, AcceptedMessage.Notice.CONFIRMATION, FinishedMessage.ended(held, FinishedMessage.Result.DELIVERED));
+        owed(held, AcceptedMessage.Notice.CONFIRMATION, FinishedMessage.endedByAnswer(held, FinishedMessage.Result.DELIVERED));
     }
 
     private void owed(AcceptedMessage held, AcceptedMessage.Notice notice, FinishedMessage end) {
@@ -180,12 +180,12 @@
     /** Nothing more is owed for the message: a notice of its end was heard, or nobody ever heard it was taken. */
     void ended(AcceptedMessage held) {
         ended(held, held.pendingNotice.map(notice -> finished.find(held.id, Long.MIN_VALUE)
-                .orElseGet(() -> FinishedMessage.noticed(held, notice))));
+                .orElseGet(() -> FinishedMessage.endedByNotice(held, notice))));
     }
 
     /** The message has ended without a notice. */
     void ended(AcceptedMessage held, FinishedMessage.Result result) {
-        ended(held, Optional.of(FinishedMessage.ended(held, result)));
+        ended(held, Optional.of(FinishedMessage.endedByAnswer(held, result)));
     }
 
     private void ended(AcceptedMessage held, Optional<FinishedMessage> end) {
@@ -485,7 +485,7 @@
             case JournalRecord.OWED -> {
                 held.pendingNotice = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
                 held.ended = true;
-                keepUnexpired(FinishedMessage.noticed(held, held.pendingNotice.get()));
+                keepUnexpired(FinishedMessage.endedByNotice(held, held.pendingNotice.get()));
             }
             case JournalRecord.ENDED -> {
                 live.remove(number);
--- a/src/main/java/starlingvalve/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -69,7 +69,7 @@
         /** It has failed, or was not answered for as long as a reachable agent may take. */
         private void unanswered() {
             boolean provesNothing = failedHere
-                    && isWithin(nanos.getAsLong(), unansweredSince, ListLeasePolicy.FAILURE_HERE_MS);
+                    && isWithin(nanos.getAsLong(), unansweredSince, ListLeasePolicy.LOCAL_FAILURE_MS);
             if (onNewConnection && !provesNothing) {
                 silentAt = OptionalLong.of(Math.max(silentAt.orElse(sentNanos), sentNanos));
             }
@@ -155,13 +155,13 @@
 
     /** The agent has answered nothing for as long as it may take, and did not until just now. */
     private boolean isSilent(long now) {
-        return unansweredSince.isPresent() && !isWithin(now, unansweredSince, policy.patienceMs())
+        return unansweredSince.isPresent() && !isWithin(now, unansweredSince, policy.answerTimeoutMs())
                 && !mayStillStart(now) && isWithin(now, silentAt, policy.silenceMs());
     }
 
     /** Whether the first answer is awaited still, and is not late for a process that has just started. */
     private boolean mayStillStart(long now) {
-        return !answeredOnce && (unansweredSince.isEmpty() || isWithin(now, unansweredSince, policy.startPatienceMs()));
+        return !answeredOnce && (unansweredSince.isEmpty() || isWithin(now, unansweredSince, policy.startupAnswerTimeoutMs()));
     }
 
     private static boolean isWithin(long now, OptionalLong since, long ms) {
@@ -170,9 +170,9 @@
 
     private void checkIfDue(long now) {
         // The first answer is the whole list, which may take its time.
-        long pauseMs = mayStillStart(now) ? policy.startPatienceMs() / 2 : policy.checkMs();
+        long pauseMs = mayStillStart(now) ? policy.startupAnswerTimeoutMs() / 2 : policy.checkIntervalMs();
         boolean keptIsSilent = lastCheckAt.isPresent() && unansweredSince.isEmpty()
-                && !isWithin(now, lastCheckAt, policy.patienceMs());
+                && !isWithin(now, lastCheckAt, policy.answerTimeoutMs());
         if (keptIsSilent || !isWithin(now, lastCheckAt, pauseMs)) {
             connections.stream().filter(connection -> !busy.contains(connection)).findFirst().ifPresent(this::check);
         }
@@ -183,7 +183,7 @@
         Check check = begin(!connection.isConnected());
         busy.add(connection);
         connection.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(CHECK_WAIT_MS)),
-                MOST_CHECKS * policy.checkMs(), answer -> {
+                MOST_CHECKS * policy.checkIntervalMs(), answer -> {
                     busy.remove(connection);
                     ended(check, query, answer, connection);
                 });
@@ -215,7 +215,7 @@
         if (onNewConnection && unansweredSince.isEmpty()) {
             unansweredSince = lastCheckAt;
         }
-        AfterPendingReads.schedule(loop, policy.patienceMs(), TimeUnit.MILLISECONDS, () -> {
+        AfterPendingReads.schedule(loop, policy.answerTimeoutMs(), TimeUnit.MILLISECONDS, () -> {
             if (!isAnswered(check)) {
                 check.unanswered();
             }
@@ -238,7 +238,7 @@
             waiting.clear();
             ready.forEach(loop::execute);
         } else {
-            settleLater(policy.patienceMs() / 2);
+            settleLater(policy.answerTimeoutMs() / 2);
         }
     }
 
--- a/src/main/java/starlingvalve/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -8,95 +8,102 @@
 import starlingvalve.DeliveryPolicy;
 
 /**
- * The last word on whether a message may be sent or ended, or a client's connection closed, now. It decides by the record
- * of the message alone, whatever the decision module and the connections made of their part of the story. What it
- * has to forbid is a fault of theirs, which is logged and counted.
+ * The final check of whether a message may be sent or ended, or a client's connection closed, now. It decides by the
+ * state of the message alone, independently of what the delivery policy and the connections have decided. Whatever it
+ * has to forbid is a fault in one of those, which is logged and counted.
  */
 final class MessageRules {
-    /** What was about to happen, or has happened. */
+    /** A violation that was prevented, or, for {@link #ENDED_LATE}, observed. */
     enum Violation {
-        /** Sent on after its end. */
+        /** A message was to be sent after its end. */
         SENT_AFTER_END,
-        /** Sent again though it may run only once and may have run. */
+        /** A message that may be processed only once, and may have been, was to be sent again. */
         REPEATED_ONCE_ONLY,
-        /** Sent again after the time in which its repeats are dropped. */
+        /** A message was to be sent again after the window within which the endpoints discard duplicates. */
         REPEATED_AFTER_WINDOW,
-        /** Ended a second time. */
+        /** A message was to be ended a second time. */
         ENDED_TWICE,
-        /** Its final answer was heard too late. */
+        /** The platform acknowledged the end of a message too late. */
         ENDED_LATE
     }
 
-    /** A class of messages, as far as its repeats go. */
-    record Repeats(DeliveryPolicy.Effect effect, double windowMs) {
+    /**
+     * Whether and when messages of a class may be sent again.
+     *
+     * @param windowMs the time after the first attempt within which endpoints discard duplicates of a keyed message
+     */
+    record RepeatPolicy(DeliveryPolicy.Effect effect, double windowMs) {
     }
 
-    /** The final answer may come so long after the deadline. */
-    private static final long LATE_MS = 300;
+    /** The end of a message may be acknowledged this long after its deadline. */
+    private static final long MAX_LATENESS_MS = 300;
 
     private final LongSupplier clockMs;
-    private final Function<String, Optional<Repeats>> classes;
+    private final Function<String, Optional<RepeatPolicy>> classes;
     private final EventLog events;
     private final Map<Violation, Long> counts = new EnumMap<>(Violation.class);
 
-    /** By the clock of the journal; {@code classes} knows those of the configuration. */
-    MessageRules(LongSupplier clockMs, Function<String, Optional<Repeats>> classes, EventLog events) {
+    /** {@code clockMs} is the journal's clock; {@code classes} looks up the message classes of the configuration. */
+    MessageRules(LongSupplier clockMs, Function<String, Optional<RepeatPolicy>> classes, EventLog events) {
         this.clockMs = clockMs;
         this.classes = classes;
         this.events = events;
     }
 
-    /** Whether the first byte of this attempt may be written now. */
-    boolean maySend(AcceptedMessage held, int attempt) {
-        if (held.ended || held.endReceived) {
-            return forbid(Violation.SENT_AFTER_END, held);
+    /** Whether the first byte of this attempt may be written now; {@code attempt} is its index. */
+    boolean maySend(AcceptedMessage message, int attempt) {
+        if (message.ended || message.endReceived) {
+            return forbid(Violation.SENT_AFTER_END, message);
         }
-        Optional<Repeats> repeats = classes.apply(held.messageClass);
-        long firstMs = Long.MAX_VALUE;
-        for (int i = 0; i < held.attempts.size(); i++) {
-            AcceptedMessage.Attempt earlier = held.attempts.get(i);
+        Optional<RepeatPolicy> policy = classes.apply(message.messageClass);
+        long firstSentMs = Long.MAX_VALUE;
+        for (int i = 0; i < message.attempts.size(); i++) {
+            AcceptedMessage.Attempt earlier = message.attempts.get(i);
             if (i != attempt && !earlier.neverRan) {
-                firstMs = Math.min(firstMs, earlier.sentAtMs);
+                firstSentMs = Math.min(firstSentMs, earlier.sentAtMs);
             }
         }
-        if (firstMs == Long.MAX_VALUE || repeats.isEmpty()) {
+        if (firstSentMs == Long.MAX_VALUE || policy.isEmpty()) {
             return true;
         }
-        return switch (repeats.get().effect()) {
-            case UNSAFE -> forbid(Violation.REPEATED_ONCE_ONLY, held);
-            case KEYED -> clockMs.getAsLong() - firstMs <= repeats.get().windowMs()
-                    || forbid(Violation.REPEATED_AFTER_WINDOW, held);
+        return switch (policy.get().effect()) {
+            case UNSAFE -> forbid(Violation.REPEATED_ONCE_ONLY, message);
+            case KEYED -> clockMs.getAsLong() - firstSentMs <= policy.get().windowMs()
+                    || forbid(Violation.REPEATED_AFTER_WINDOW, message);
             case SAFE -> true;
         };
     }
 
-    /** Whether the message may end now: once. */
-    boolean mayEnd(AcceptedMessage held) {
-        return !held.ended || forbid(Violation.ENDED_TWICE, held);
+    /** Whether the message may end now; each message ends only once. */
+    boolean mayEnd(AcceptedMessage message) {
+        return !message.ended || forbid(Violation.ENDED_TWICE, message);
     }
 
-    /** The platform has answered the notice of its end. */
-    void heard(AcceptedMessage held) {
-        if (clockMs.getAsLong() - held.deadlineMs > LATE_MS) {
-            forbid(Violation.ENDED_LATE, held);
+    /** Checks that the platform, which has just answered the notice of a message's end, did so in time. */
+    void endAcknowledged(AcceptedMessage message) {
+        if (clockMs.getAsLong() - message.deadlineMs > MAX_LATENESS_MS) {
+            forbid(Violation.ENDED_LATE, message);
         }
     }
 
-    /** Whether this side may close a client's connection for such a reason. */
+    /**
+     * Whether this sender may close a client's connection for the given reason. During a request only the client's own
+     * behaviour is a valid reason.
+     */
     static boolean mayClose(SubmissionServer.CloseReason reason, boolean underRequest) {
         return !underRequest || reason == SubmissionServer.CloseReason.REQUEST_NOT_WHOLE
                 || reason == SubmissionServer.CloseReason.BROKEN || reason == SubmissionServer.CloseReason.PEER;
     }
 
-    /** How often this was forbidden, or seen too late. */
+    /** How often this violation was prevented or observed. */
     long count(Violation violation) {
         return counts.getOrDefault(violation, 0L);
     }
 
-    private boolean forbid(Violation violation, AcceptedMessage held) {
+    private boolean forbid(Violation violation, AcceptedMessage message) {
         counts.merge(violation, 1L, Long::sum);
-        events.add("rule-violated", "rule", violation, "id", held.id, "class", held.messageClass, "attempts",
-                held.attempts.size(), "left_ms", held.deadlineMs - clockMs.getAsLong());
+        events.add("rule-violated", "rule", violation, "id", message.id, "class", message.messageClass, "attempts",
+                message.attempts.size(), "left_ms", message.deadlineMs - clockMs.getAsLong());
         return false;
     }
 }
--- a/src/main/java/starlingvalve/net/OpenMessages.java
+++ b/src/main/java/starlingvalve/net/OpenMessages.java
@@ -7,21 +7,21 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The messages that this sender has taken on and not ended, by the module's number and by the client's id. */
+/** The accepted messages that have not ended, by their number and by the id that the client gave them. */
 final class OpenMessages {
     private final Map<Long, AcceptedMessage> byNumber = new TreeMap<>();
     private final Map<String, AcceptedMessage> byId = new HashMap<>();
 
-    /** A message is open from now on. */
-    void add(AcceptedMessage held) {
-        byNumber.put(held.number, held);
-        byId.put(held.id, held);
+    /** Adds a message that was accepted or recovered. */
+    void add(AcceptedMessage message) {
+        byNumber.put(message.number, message);
+        byId.put(message.id, message);
     }
 
-    /** A message is over. */
-    void remove(AcceptedMessage held) {
-        byNumber.remove(held.number);
-        byId.remove(held.id);
+    /** Removes a message that has ended. */
+    void remove(AcceptedMessage message) {
+        byNumber.remove(message.number);
+        byId.remove(message.id);
     }
 
     Optional<AcceptedMessage> find(long number) {
@@ -32,7 +32,7 @@
         return Optional.ofNullable(byId.get(id));
     }
 
-    /** All of them, as they are now, in the order in which they were taken. */
+    /** Returns a copy of all open messages, in the order in which they were accepted. */
     Collection<AcceptedMessage> all() {
         return List.copyOf(byNumber.values());
     }
@@ -45,7 +45,7 @@
         return byNumber.isEmpty();
     }
 
-    /** Another process owns them. */
+    /** Removes all messages, since another process owns them now. */
     void clear() {
         byNumber.clear();
         byId.clear();
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -214,7 +214,7 @@
     }
 
     private void open() {
-        int openAtStart = DescriptorBudget.openNow();
+        int openAtStart = DescriptorBudget.openDescriptors();
         DescriptorBudget budget = DescriptorBudget.divide(config.sockets(), openAtStart, config.settings().slots());
         Log.line(budget + "; " + openAtStart + " were open at the start");
         endpoints = new Endpoints(loop, config.dialMs(), config.settings().keepAliveMs(),
@@ -266,13 +266,13 @@
     }
 
     /** How messages of a class may be repeated, if the configuration still knows it. */
-    private Optional<MessageRules.Repeats> repeats(String messageClass) {
+    private Optional<MessageRules.RepeatPolicy> repeats(String messageClass) {
         int number = config.classes().indexOf(messageClass);
         if (number < 0) {
             return Optional.empty();
         }
         DeliveryPolicy.MessageClass known = config.settings().classes().get(number);
-        return Optional.of(new MessageRules.Repeats(known.effect(), known.windowMs()));
+        return Optional.of(new MessageRules.RepeatPolicy(known.effect(), known.windowMs()));
     }
 
     /** Records that the disk did not take from the old process. */
@@ -816,7 +816,7 @@
     /** The platform has answered the notice: only now is the message over. */
     private void heard(AcceptedMessage held) {
         events.add("notice-heard", "id", held.id);
-        rules.heard(held);
+        rules.endAcknowledged(held);
         journal.ended(held);
         event(() -> relay.heard(openTurn(), held.number));
     }
--- a/src/main/java/starlingvalve/net/UnattemptedMessages.java
+++ b/src/main/java/starlingvalve/net/UnattemptedMessages.java
@@ -4,53 +4,53 @@
 import java.util.Set;
 
 /**
- * What a restart found taken on and never called for. Its clients count on it, so how it fares is told once: when
- * each of these messages has had a call or has ended, or with the process.
+ * The messages that were recovered from the journal without any attempt. Their clients rely on them, so one log line
+ * reports what happened to them: once each of them has had a call or has ended, or when the process ends.
  */
 final class UnattemptedMessages {
     private final Set<Long> waiting = new HashSet<>();
     private int found;
-    private int outOfTime;
+    private int expired;
     private int called;
 
-    /** A message came back from the journal with no attempt. */
+    /** A message without attempts was recovered from the journal. */
     void found(long message, double leftMs) {
         waiting.add(message);
         found++;
-        outOfTime += leftMs <= 0 ? 1 : 0;
+        expired += leftMs <= 0 ? 1 : 0;
     }
 
-    /** A call is made for a message. */
+    /** A call is made with this message. */
     void called(long message) {
         if (waiting.remove(message)) {
             called++;
-            tellWhenOver();
+            logWhenComplete();
         }
     }
 
-    /** A message has ended; one that still waits here ends without a call. */
+    /** A message has ended; if it has had no call yet, it counts as ended without one. */
     void ended(long message) {
         if (waiting.remove(message)) {
-            tellWhenOver();
+            logWhenComplete();
         }
     }
 
-    /** The process ends: what waits is the next life's. */
+    /** The process ends: the messages that still wait for a call are recovered by the next process run. */
     void close() {
         if (!waiting.isEmpty()) {
-            tell();
+            log();
         }
     }
 
-    private void tellWhenOver() {
+    private void logWhenComplete() {
         if (waiting.isEmpty()) {
-            tell();
+            log();
         }
     }
 
-    private void tell() {
+    private void log() {
         Log.line("of " + found + " untried messages from the journal " + called + " were called for, "
-                + (found - called - waiting.size()) + " ended without a call (" + outOfTime
+                + (found - called - waiting.size()) + " ended without a call (" + expired
                 + " were out of time before), " + waiting.size() + " wait");
     }
 }
--- a/src/test/java/starlingvalve/net/CombinedSoakTest.java
+++ b/src/test/java/starlingvalve/net/CombinedSoakTest.java
@@ -239,7 +239,7 @@
         String played = "seed " + seed + ": " + nodes.size() + " senders, "
                 + nodes.stream().mapToInt(SoakNode::processes).sum() + " processes, " + taken + " of " + messages.size()
                 + " messages taken on, " + nodes.stream().mapToInt(node -> node.drains().calls()).sum() + " calls; " + met
-                + ", failed calls " + SoakNode.failedCalls(nodes) + ", answers with more than belongs to them " + surplus.met();
+                + ", failed calls " + SoakNode.failedCalls(nodes) + ", answers with more than belongs to them " + surplus.surplusAnswers();
         System.out.println(played);
         assertTrue(taken > 20, "the soak takes too few messages to mean anything: " + played);
         List<String> found = violations();
--- a/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
+++ b/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
@@ -76,12 +76,12 @@
 
     @Test
     void whatIsOpenNowIsCounted() throws IOException {
-        int before = DescriptorBudget.openNow();
+        int before = DescriptorBudget.openDescriptors();
         ServerSocket[] opened = new ServerSocket[50];
         for (int i = 0; i < opened.length; i++) {
             opened[i] = new ServerSocket(0);
         }
-        int after = DescriptorBudget.openNow();
+        int after = DescriptorBudget.openDescriptors();
         for (ServerSocket socket : opened) {
             socket.close();
         }
--- a/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
@@ -275,7 +275,7 @@
             assertTrue(timing.intervalMs() + afterInterval <= TOLD_LIMIT_MS, "in all: " + timing);
             assertTrue(timing.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= timing.intervalMs(),
                     "room for the pause: " + timing);
-            assertTrue(timing.patienceMs() >= 2000, "patience with an overloaded discovery: " + timing);
+            assertTrue(timing.answerTimeoutMs() >= 2000, "patience with an overloaded discovery: " + timing);
         }
         DiscoveryRetryPolicy.Timing moved = DiscoveryRetryPolicy.NEW_ADDRESS;
         assertTrue(moved.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "in all: " + moved);
--- a/src/test/java/starlingvalve/net/MessageRulesTest.java
+++ b/src/test/java/starlingvalve/net/MessageRulesTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy.Effect;
-import starlingvalve.net.MessageRules.Repeats;
+import starlingvalve.net.MessageRules.RepeatPolicy;
 import starlingvalve.net.MessageRules.Violation;
 
 /** For each rule a message that breaks it, and one that only looks like it. */
@@ -16,8 +16,8 @@
     private static final long WINDOW_MS = 1000;
     private static final long DEADLINE_MS = 5000;
     private static final long LATE_MS = 300;
-    private static final Map<String, Repeats> CLASSES = Map.of("safe", new Repeats(Effect.SAFE, 0), "keyed",
-            new Repeats(Effect.KEYED, WINDOW_MS), "unsafe", new Repeats(Effect.UNSAFE, 0));
+    private static final Map<String, RepeatPolicy> CLASSES = Map.of("safe", new RepeatPolicy(Effect.SAFE, 0), "keyed",
+            new RepeatPolicy(Effect.KEYED, WINDOW_MS), "unsafe", new RepeatPolicy(Effect.UNSAFE, 0));
 
     private long nowMs;
     private final MessageRules rules = new MessageRules(() -> nowMs,
@@ -84,10 +84,10 @@
     @Test
     void anEndThatIsHeardLateIsCounted() {
         nowMs = DEADLINE_MS + LATE_MS;
-        rules.heard(repeated("safe"));
+        rules.endAcknowledged(repeated("safe"));
         assertEquals(0, rules.count(Violation.ENDED_LATE));
         nowMs++;
-        rules.heard(repeated("safe"));
+        rules.endAcknowledged(repeated("safe"));
         assertEquals(1, rules.count(Violation.ENDED_LATE));
     }
 
--- a/src/test/java/starlingvalve/net/SurplusWriter.java
+++ b/src/test/java/starlingvalve/net/SurplusWriter.java
@@ -20,7 +20,7 @@
 
     private final Random random;
     private final int percent;
-    private final AtomicInteger met = new AtomicInteger();
+    private final AtomicInteger surplusWritten = new AtomicInteger();
 
     /** So many of a hundred answers bring more. */
     SurplusWriter(Random random, int percent) {
@@ -29,8 +29,8 @@
     }
 
     /** How many answers have brought more. */
-    int met() {
-        return met.get();
+    int surplusAnswers() {
+        return surplusWritten.get();
     }
 
     void write(Socket socket, String answer) throws IOException {
@@ -40,7 +40,7 @@
         }
         String surplus = draw(2) == 0 ? answer : NOISE.get(draw(NOISE.size()));
         if (draw(2) == 0) {
-            met.incrementAndGet();
+            surplusWritten.incrementAndGet();
             StubServer.write(socket, answer + surplus);
             return;
         }
@@ -58,7 +58,7 @@
         }
         boolean nothingWaits = socket.getInputStream().available() == 0;
         if (nothingWaits && System.nanoTime() - answeredAt < STRAIGHT_BEHIND_NANOS) {
-            met.incrementAndGet();
+            surplusWritten.incrementAndGet();
             StubServer.write(socket, surplus);
         }
     }
