--- a/src/main/java/starlingvalve/net/DescriptorBudget.java
+++ b/src/main/java/starlingvalve/net/DescriptorBudget.java
@@ -35,7 +35,7 @@
     private static final int AGENT_CONNECTIONS = 6 + ListLease.MOST_CHECKS;
     private static final int RESERVED_BESIDES_JVM = FILES + LISTENERS + AGENT_CONNECTIONS
             + OperatorServer.MOST_CONNECTIONS + 2 * ACCEPT_BURST;
-    /** Clients use at most this fraction of the limit for their requests: one in three. */
+    /** Clients use at most the limit divided by this for their requests. */
     private static final int REQUEST_DIVISOR = 3;
 
     /**
--- a/src/main/java/starlingvalve/net/DiscoveryRetryPolicy.java
+++ b/src/main/java/starlingvalve/net/DiscoveryRetryPolicy.java
@@ -10,8 +10,8 @@
  * <li>the wait that this request asks for, the time-out of its answer, and the pause after it, which together take no
  *     longer than {@link Timing#intervalMs()};</li>
  * <li>the connect of the next request, {@link AgentConnection#CONNECT_MS} at most;</li>
- * <li>delays by a busy event loop, {@link #LOOP_SLACK_MS} at most: the timer of the pause and the read of the answer may
- *     each be late. A late time-out does not count, as it shortens the pause.</li>
+ * <li>delays by a busy event loop, {@link #LOOP_SLACK_MS} at most: the timer of the pause and the read of the answer
+ *     may each be late. A late time-out does not count, as it shortens the pause.</li>
  * </ol>
  * Within the budget the time-out is long, because an overloaded discovery answers late and a request that is given up
  * and repeated adds to its load. The pause is random, because all senders see an outage at the same moment and must not
--- a/src/main/java/starlingvalve/net/ListLeasePolicy.java
+++ b/src/main/java/starlingvalve/net/ListLeasePolicy.java
@@ -20,8 +20,8 @@
  * @param startupAnswerTimeoutMs the same time-out before the agent's first answer
  * @param silenceMs time after the sending of an unanswered check for which the agent still counts as silent
  */
-record ListLeasePolicy(boolean expires, long leaseMs, long checkIntervalMs, long answerTimeoutMs, long startupAnswerTimeoutMs,
-        long silenceMs) {
+record ListLeasePolicy(boolean expires, long leaseMs, long checkIntervalMs, long answerTimeoutMs,
+        long startupAnswerTimeoutMs, long silenceMs) {
     /** The protocol allows this much more than each of its time limits. */
     private static final double SLACK_MS = 50;
     /** Longest time for which the process may stall between reading its clock and writing. */
@@ -29,8 +29,8 @@
     /** With a very short grace period checks still need some time for their answers. */
     private static final double MIN_BUDGET_MS = 60;
     /**
-     * A process that has just started is slow, and so may be the agent on the same machine. Messages that wait this long
-     * for the first answer lose little time, while calls sent by an outdated list would violate the protocol.
+     * A process that has just started is slow, and so may be the agent on the same machine. Messages that wait this
+     * long for the first answer lose little time, while calls sent by an outdated list would violate the protocol.
      */
     private static final long STARTUP_ANSWER_TIMEOUT_MS = 500;
 
--- a/src/test/java/starlingvalve/net/AnswerBytes.java
+++ b/src/test/java/starlingvalve/net/AnswerBytes.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Locale;
 import starlingvalve.net.AnswerScript.Answer;
+import starlingvalve.net.AnswerScript.Corruption;
+import starlingvalve.net.AnswerScript.CorruptionKind;
 import starlingvalve.net.AnswerScript.Ending;
 import starlingvalve.net.AnswerScript.Framing;
 import starlingvalve.net.AnswerScript.Spelling;
-import starlingvalve.net.AnswerScript.Spoiling;
-import starlingvalve.net.AnswerScript.Spoilt;
 
-/** The bytes of a scripted answer, spoilt as its script says. */
+/** The bytes of a scripted answer, with the corruption that the script specifies. */
 final class AnswerBytes {
     private static final String LINE_END = "\r\n";
     private static final List<String> BAD_STATUS_LINES = List.of("HTP/1.1 %d x", "HTTP/1.1 x%d x", "%d HTTP/1.1",
@@ -21,34 +21,34 @@
     private static final List<String> BAD_CHUNK_SIZES = List.of("zz", "-1", "7fffffff", "");
     private static final List<String> BAD_LENGTHS = List.of("abc", "-5", "");
 
-    /** All that is written. */
+    /** All bytes that are written. */
     final byte[] bytes;
-    /** Length of the first line with its end. */
-    final int firstLineLength;
-    /** Length of the first line and the headers, with the empty line that ends them. */
+    /** Length of the status line, including its line end. */
+    final int statusLineLength;
+    /** Length of the status line and the headers, including the empty line after them. */
     final int headLength;
-    /** What ends the connection after the last byte, if anything. */
+    /** What happens to the connection after the last byte. */
     final Ending ending;
 
-    AnswerBytes(Answer answer, Spoilt spoilt, List<String> ids) {
-        Framing framing = framing(answer, spoilt);
-        byte[] body = body(answer, ids, needsBody(spoilt.by()));
-        String statusLine = statusLine(answer, spoilt) + LINE_END;
-        String head = statusLine + headers(answer, spoilt, framing, body.length) + LINE_END;
-        byte[] whole = concat(bytes(head), framed(body, framing, spoilt));
-        if (spoilt.by() == Spoiling.STRAY_AFTER) {
-            whole = concat(whole, spoilt.stray().bytes());
+    AnswerBytes(Answer answer, Corruption corruption, List<String> ids) {
+        Framing framing = framing(answer, corruption);
+        byte[] body = body(answer, ids, needsBody(corruption.kind()));
+        String statusLine = statusLine(answer, corruption) + LINE_END;
+        String head = statusLine + headers(answer, corruption, framing, body.length) + LINE_END;
+        byte[] whole = concat(bytes(head), framed(body, framing, corruption));
+        if (corruption.kind() == CorruptionKind.STRAY_AFTER) {
+            whole = concat(whole, corruption.stray().bytes());
         }
-        boolean closes = !answer.keepAlive() || framing == Framing.UNTIL_CLOSE;
-        this.ending = ending(spoilt, closes);
-        this.firstLineLength = statusLine.length();
+        boolean closesConnection = !answer.keepAlive() || framing == Framing.UNTIL_CLOSE;
+        this.ending = ending(corruption, closesConnection);
+        this.statusLineLength = statusLine.length();
         this.headLength = head.length();
-        this.bytes = spoilt.by() == Spoiling.CUT ? cut(whole, framing, spoilt) : whole;
+        this.bytes = corruption.kind() == CorruptionKind.TRUNCATED ? truncated(whole, framing, corruption) : whole;
     }
 
-    /** Some ways of spoiling need a certain frame. */
-    private static Framing framing(Answer answer, Spoilt spoilt) {
-        return switch (spoilt.by()) {
+    /** Returns the framing that is used: some kinds of corruption require a certain one. */
+    private static Framing framing(Answer answer, Corruption corruption) {
+        return switch (corruption.kind()) {
             case LENGTH_TOO_LONG, LENGTH_TOO_SHORT, BAD_HEADER -> Framing.CONTENT_LENGTH;
             case BAD_CHUNK -> Framing.CHUNKED;
             case STRAY_AFTER -> answer.framing() == Framing.UNTIL_CLOSE
@@ -57,44 +57,44 @@
         };
     }
 
-    private static boolean needsBody(Spoiling by) {
-        return by == Spoiling.LENGTH_TOO_SHORT || by == Spoiling.BAD_CHUNK;
+    private static boolean needsBody(CorruptionKind kind) {
+        return kind == CorruptionKind.LENGTH_TOO_SHORT || kind == CorruptionKind.BAD_CHUNK;
     }
 
-    private static Ending ending(Spoilt spoilt, boolean closes) {
-        return switch (spoilt.by()) {
-            case NONE, SPLIT, STRAY_AFTER -> closes ? Ending.FIN : Ending.SILENCE;
-            default -> spoilt.ending();
+    private static Ending ending(Corruption corruption, boolean closesConnection) {
+        return switch (corruption.kind()) {
+            case NONE, SPLIT, STRAY_AFTER -> closesConnection ? Ending.FIN : Ending.SILENCE;
+            default -> corruption.ending();
         };
     }
 
     private static byte[] body(Answer answer, List<String> ids, boolean notEmpty) {
-        if (!answer.toBatchWithWords()) {
+        if (!answer.hasMessageResults()) {
             return bytes("x".repeat(Math.max(notEmpty ? 1 : 0, answer.bodyLength())));
         }
         StringBuilder lines = new StringBuilder();
-        for (int place = 0; place < ids.size(); place++) {
-            lines.append(ids.get(place)).append(' ').append(answer.words().get(place).text()).append(LINE_END);
+        for (int index = 0; index < ids.size(); index++) {
+            lines.append(ids.get(index)).append(' ').append(answer.results().get(index).text()).append(LINE_END);
         }
         return bytes(lines.toString());
     }
 
-    private static String statusLine(Answer answer, Spoilt spoilt) {
-        if (spoilt.by() == Spoiling.BAD_STATUS_LINE) {
-            String line = BAD_STATUS_LINES.get(spoilt.variant() % BAD_STATUS_LINES.size());
+    private static String statusLine(Answer answer, Corruption corruption) {
+        if (corruption.kind() == CorruptionKind.BAD_STATUS_LINE) {
+            String line = BAD_STATUS_LINES.get(corruption.variant() % BAD_STATUS_LINES.size());
             return String.format(line, answer.status());
         }
         return "HTTP/1.1 " + answer.status()
                 + (answer.spelling() == Spelling.MORE_HEADERS_NO_REASON ? " " : " Some Reason");
     }
 
-    private static String headers(Answer answer, Spoilt spoilt, Framing framing, int bodyLength) {
+    private static String headers(Answer answer, Corruption corruption, Framing framing, int bodyLength) {
         List<String> lines = new ArrayList<>();
         if (answer.spelling() == Spelling.MORE_HEADERS_NO_REASON) {
             lines.add(header(answer, "X-Load-Report", "TEXT x0=0.4, x1=25"));
         }
-        if (answer.waitMs() > 0) {
-            lines.add(header(answer, "Retry-After", Double.toString(answer.waitMs() / 1000.0)));
+        if (answer.retryAfterMs() > 0) {
+            lines.add(header(answer, "Retry-After", Double.toString(answer.retryAfterMs() / 1000.0)));
         }
         if (answer.noSlot()) {
             lines.add(header(answer, "X-No-Slot", "1"));
@@ -102,34 +102,34 @@
         if (!answer.keepAlive() || framing == Framing.UNTIL_CLOSE) {
             lines.add(header(answer, "Connection", "close"));
         }
-        if (spoilt.by() == Spoiling.BAD_HEADER) {
-            lines.add(badHeader(answer, spoilt, bodyLength));
+        if (corruption.kind() == CorruptionKind.BAD_HEADER) {
+            lines.add(badHeader(answer, corruption, bodyLength));
         }
         if (framing == Framing.CHUNKED) {
             lines.add(header(answer, "Transfer-Encoding", "chunked"));
-        } else if (framing == Framing.CONTENT_LENGTH && !replacesLength(spoilt)) {
-            lines.add(header(answer, "Content-Length", Integer.toString(toldLength(spoilt, bodyLength))));
+        } else if (framing == Framing.CONTENT_LENGTH && !replacesLength(corruption)) {
+            lines.add(header(answer, "Content-Length", Integer.toString(declaredLength(corruption, bodyLength))));
         }
         return String.join("", lines);
     }
 
-    private static boolean replacesLength(Spoilt spoilt) {
-        return spoilt.by() == Spoiling.BAD_HEADER && spoilt.variant() % 4 == 2;
+    private static boolean replacesLength(Corruption corruption) {
+        return corruption.kind() == CorruptionKind.BAD_HEADER && corruption.variant() % 4 == 2;
     }
 
-    private static String badHeader(Answer answer, Spoilt spoilt, int bodyLength) {
-        return switch (spoilt.variant() % 4) {
+    private static String badHeader(Answer answer, Corruption corruption, int bodyLength) {
+        return switch (corruption.variant() % 4) {
             case 0 -> "no colon here" + LINE_END;
             case 1 -> "X-\0Zero: 1" + LINE_END;
-            case 2 -> header(answer, "Content-Length", BAD_LENGTHS.get(spoilt.permille() % BAD_LENGTHS.size()));
+            case 2 -> header(answer, "Content-Length", BAD_LENGTHS.get(corruption.permille() % BAD_LENGTHS.size()));
             default -> header(answer, "Content-Length", Integer.toString(bodyLength + 7));
         };
     }
 
-    private static int toldLength(Spoilt spoilt, int bodyLength) {
-        return switch (spoilt.by()) {
-            case LENGTH_TOO_LONG -> bodyLength + 1 + spoilt.variant();
-            case LENGTH_TOO_SHORT -> bodyLength - 1 - spoilt.permille() * (bodyLength - 1) / 1000;
+    private static int declaredLength(Corruption corruption, int bodyLength) {
+        return switch (corruption.kind()) {
+            case LENGTH_TOO_LONG -> bodyLength + 1 + corruption.variant();
+            case LENGTH_TOO_SHORT -> bodyLength - 1 - corruption.permille() * (bodyLength - 1) / 1000;
             default -> bodyLength;
         };
     }
@@ -144,22 +144,22 @@
         return line + LINE_END;
     }
 
-    private static byte[] framed(byte[] body, Framing framing, Spoilt spoilt) {
+    private static byte[] framed(byte[] body, Framing framing, Corruption corruption) {
         if (framing != Framing.CHUNKED) {
             return body;
         }
-        // In two chunks where there is enough for two.
+        // Two chunks, if the body is long enough.
         int first = body.length / 2;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         if (first > 0) {
             chunk(out, body, 0, first, Integer.toHexString(first) + ";part=1");
         }
         String size = Integer.toHexString(body.length - first).toUpperCase(Locale.ROOT);
-        if (spoilt.by() == Spoiling.BAD_CHUNK) {
-            int ways = BAD_CHUNK_SIZES.size() + 1;
-            int way = spoilt.variant() % ways;
-            // The last way: the chunk holds more than its size says.
-            size = way < BAD_CHUNK_SIZES.size() ? BAD_CHUNK_SIZES.get(way)
+        if (corruption.kind() == CorruptionKind.BAD_CHUNK) {
+            int variants = BAD_CHUNK_SIZES.size() + 1;
+            int variant = corruption.variant() % variants;
+            // The last variant: the chunk is longer than its declared size.
+            size = variant < BAD_CHUNK_SIZES.size() ? BAD_CHUNK_SIZES.get(variant)
                     : Integer.toHexString(body.length - first - 1);
         }
         if (body.length > first) {
@@ -175,11 +175,14 @@
         out.writeBytes(bytes(LINE_END));
     }
 
-    /** Cut short so that it shows: a body that the close ends has no end of its own. */
-    private byte[] cut(byte[] whole, Framing framing, Spoilt spoilt) {
-        boolean hidden = framing == Framing.UNTIL_CLOSE && spoilt.ending() == Ending.FIN;
-        int room = hidden ? headLength : whole.length;
-        return Arrays.copyOf(whole, room * spoilt.permille() / 1000);
+    /**
+     * Truncates an answer in such a way that a client can detect it: the truncation of a body that ends with the
+     * connection could not be detected, so there only the head is truncated.
+     */
+    private byte[] truncated(byte[] whole, Framing framing, Corruption corruption) {
+        boolean undetectable = framing == Framing.UNTIL_CLOSE && corruption.ending() == Ending.FIN;
+        int visibleLength = undetectable ? headLength : whole.length;
+        return Arrays.copyOf(whole, visibleLength * corruption.permille() / 1000);
     }
 
     private static byte[] concat(byte[] first, byte[] second) {
--- a/src/test/java/starlingvalve/net/AnswerScript.java
+++ b/src/test/java/starlingvalve/net/AnswerScript.java
@@ -4,81 +4,82 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a scripted endpoint does in one exchange: the answer it means to give, and how that answer is spoilt. */
+/** Types that describe what a scripted endpoint does in one exchange: its answer, and how that is corrupted. */
 final class AnswerScript {
     private AnswerScript() {
     }
 
-    /** How the end of an answer's body is told. */
+    /** How the end of an answer's body is marked. */
     enum Framing { CONTENT_LENGTH, CHUNKED, UNTIL_CLOSE }
 
-    /** How header lines are spelled; HTTP allows each of these. */
+    /** How header lines are written; HTTP allows each of these. */
     enum Spelling { PLAIN, LOWER_CASE, UPPER_CASE_NO_SPACE, TABS_AND_SPACES, MORE_HEADERS_NO_REASON }
 
-    /** How one message of a batch fared, by the protocol's words. */
-    enum Word {
+    /** The result of one message of a batch, named by the protocol's words. */
+    enum MessageResult {
         ACCEPTED, FAULT, DEFERRED, EXPIRED, NO_MORE;
 
+        /** The protocol's word for it. */
         String text() {
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** Whether the endpoint ran the message, as far as a clean answer with this word tells. */
+        /** Whether the endpoint ran the message, if a valid answer reports this result. */
         boolean ran() {
             return this == ACCEPTED || this == FAULT;
         }
     }
 
-    /** What is done to an answer on its way. */
-    enum Spoiling {
+    /** What is done to an answer before it is written. */
+    enum CorruptionKind {
         /** Nothing. */
         NONE,
-        /** It is written in several pieces, which changes nothing. */
+        /** It is written in several pieces, which does not change its meaning. */
         SPLIT,
         /** It ends before its last byte. */
-        CUT,
-        /** More bytes follow at once. */
+        TRUNCATED,
+        /** More bytes follow immediately. */
         STRAY_AFTER,
         /** Content-Length promises more bytes than come. */
         LENGTH_TOO_LONG,
         /** Content-Length promises fewer bytes than come. */
         LENGTH_TOO_SHORT,
-        /** A chunk's frame is wrong. */
+        /** The framing of a chunk is invalid. */
         BAD_CHUNK,
-        /** The first line is none. */
+        /** The first line is not a valid status line. */
         BAD_STATUS_LINE,
-        /** A header line is none, or Content-Length makes no sense. */
+        /** A header line is invalid, or the value of Content-Length is. */
         BAD_HEADER;
 
-        /** Whether the answer stays one that the protocol allows. */
-        boolean clean() {
+        /** Whether the answer remains valid by the protocol. */
+        boolean isHarmless() {
             return this == NONE || this == SPLIT;
         }
     }
 
-    /** What follows the last byte that is written of a spoilt answer. */
+    /** What follows the last byte of an answer: the connection is closed, reset, or left open. */
     enum Ending { FIN, RESET, SILENCE }
 
-    /** When stray bytes come on a connection that waits for its next call. */
-    enum Moment {
+    /** When stray bytes arrive on a connection without a call. */
+    enum StrayTiming {
         /** Never. */
         NONE,
-        /** On a resting connection; the client has read them when the next call starts. */
-        RESTING_READ,
-        /** On a resting connection; they lie unread in the client's socket when the next call starts. */
-        RESTING_UNREAD,
+        /** On an idle connection; the client has read them when the next call starts. */
+        IDLE_READ,
+        /** On an idle connection; they are still unread in the client's socket when the next call starts. */
+        IDLE_UNREAD,
         /** On a new connection, before its first request is written. */
         AT_ACCEPT
     }
 
-    /** Bytes that belong to no answer. */
-    record Stray(byte[] bytes) {
-        static Stray of(String text) {
-            return new Stray(text.getBytes(StandardCharsets.ISO_8859_1));
+    /** Bytes that do not belong to any answer. */
+    record StrayBytes(byte[] bytes) {
+        static StrayBytes of(String text) {
+            return new StrayBytes(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Whether an answer of another status may begin in it. */
-        boolean mayTellOtherThan(int status) {
+        /** Whether these bytes may contain the start of an answer with another status. */
+        boolean mayContainOtherStatus(int status) {
             String text = new String(bytes, StandardCharsets.ISO_8859_1);
             return text.replace("HTTP/1.1 " + status + " ", "").contains("HTTP/1.");
         }
@@ -93,16 +94,16 @@
         }
     }
 
-    /** An answer; {@code words} tells how each message fared, for a batch that is answered 200. */
-    record Answer(int status, boolean noSlot, int waitMs, List<Word> words, int bodyLength, Framing framing,
-            boolean keepAlive, Spelling spelling) {
-        boolean toBatchWithWords() {
-            return status == 200 && words.size() > 1;
+    /** An answer; {@code results} has one result for each message of the call, used if a batch is answered with 200. */
+    record Answer(int status, boolean noSlot, int retryAfterMs, List<MessageResult> results, int bodyLength,
+            Framing framing, boolean keepAlive, Spelling spelling) {
+        boolean hasMessageResults() {
+            return status == 200 && results.size() > 1;
         }
 
-        /** Whether the endpoint ran the message at this place of the call, as a clean answer tells. */
-        boolean ran(int place) {
-            return toBatchWithWords() ? words.get(place).ran() : status == 200 || status == 500;
+        /** Whether the endpoint ran the message with this index in the call, if the answer is valid. */
+        boolean ran(int index) {
+            return hasMessageResults() ? results.get(index).ran() : status == 200 || status == 500;
         }
 
         boolean isRefusal() {
@@ -110,27 +111,39 @@
         }
     }
 
-    /** How an answer is spoilt; {@code permille} is the place in it, and {@code variant} one of several ways. */
-    record Spoilt(Spoiling by, int permille, int variant, Ending ending, Stray stray) {
+    /**
+     * How an answer is corrupted.
+     *
+     * @param permille the position in the answer, in thousandths of its length
+     * @param variant selects one of several ways to do it
+     * @param stray the bytes that follow an answer with {@link CorruptionKind#STRAY_AFTER}
+     */
+    record Corruption(CorruptionKind kind, int permille, int variant, Ending ending, StrayBytes stray) {
     }
 
-    /** One exchange: stray bytes before it, a call of {@code size} messages, and what becomes of its answer. */
-    record Step(int size, Moment moment, Stray before, Answer answer, Spoilt spoilt) {
-        /** Whether the answer counts: nothing is done to it, but for bytes behind it that are not of another one. */
-        boolean isCleanAnswer() {
-            boolean bringsMore = spoilt.by() == Spoiling.STRAY_AFTER;
-            return spoilt.by().clean()
-                    || bringsMore && (answer.toBatchWithWords() || !spoilt.stray().mayTellOtherThan(answer.status()));
+    /** One exchange: stray bytes before it, a call with {@code size} messages, its answer and how that is corrupted. */
+    record Step(int size, StrayTiming strayTiming, StrayBytes strayBefore, Answer answer, Corruption corruption) {
+        /** Whether the answer counts: it is not corrupted, except by trailing bytes that can't be another answer. */
+        boolean isValidAnswer() {
+            boolean hasTrailingBytes = corruption.kind() == CorruptionKind.STRAY_AFTER;
+            return corruption.kind().isHarmless()
+                    || hasTrailingBytes && (answer.hasMessageResults()
+                            || !corruption.stray().mayContainOtherStatus(answer.status()));
         }
 
-        /** The same; bytes behind its length are on the wire what comes behind a whole answer, but a list of words is cut. */
-        boolean tellsWhatRan() {
-            return isCleanAnswer() || spoilt.by() == Spoiling.LENGTH_TOO_SHORT && !answer.toBatchWithWords();
+        /**
+         * Whether the answer proves which messages ran. Besides valid answers this holds for one whose Content-Length
+         * is too short: on the wire this is a complete answer with trailing bytes. In the answer to a batch, though, it
+         * truncates the list of results.
+         */
+        boolean provesWhatRan() {
+            return isValidAnswer()
+                    || corruption.kind() == CorruptionKind.LENGTH_TOO_SHORT && !answer.hasMessageResults();
         }
 
-        /** Whether the end of the connection is all that tells the end of the answer. */
+        /** Whether the end of the answer is marked only by the end of the connection. */
         boolean endsWithConnection() {
-            return answer.framing() == Framing.UNTIL_CLOSE && spoilt.by() != Spoiling.STRAY_AFTER;
+            return answer.framing() == Framing.UNTIL_CLOSE && corruption.kind() != CorruptionKind.STRAY_AFTER;
         }
     }
 }
--- a/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
+++ b/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
@@ -7,15 +7,15 @@
 import java.net.ServerSocket;
 import org.junit.jupiter.api.Test;
 
-/** The division of the descriptors, under limits that the platform grants and under odd ones. */
+/** Checks the division of the descriptors with limits that the platform grants, and with extreme ones. */
 class DescriptorBudgetTest {
-    private static final int LEAST_GRANTED = 256;
-    private static final int MOST_GRANTED = 1024;
-    private static final int USUAL_AT_START = 20;
+    private static final int MIN_GRANTED_LIMIT = 256;
+    private static final int MAX_GRANTED_LIMIT = 1024;
+    private static final int USUAL_OPEN_AT_START = 20;
     private static final int USUAL_CALLS = 10;
 
     private static DescriptorBudget divide(int limit) {
-        return DescriptorBudget.divide(limit, USUAL_AT_START, USUAL_CALLS);
+        return DescriptorBudget.divide(limit, USUAL_OPEN_AT_START, USUAL_CALLS);
     }
 
     private static int total(DescriptorBudget budget, int calls) {
@@ -23,59 +23,60 @@
     }
 
     @Test
-    void everyGrantedLimitHoldsAllSharesAndTheRequestsThatClientsMayHaveOpen() {
-        for (int limit = LEAST_GRANTED; limit <= MOST_GRANTED; limit++) {
+    void everyGrantedLimitSufficesForAllSharesAndAllOpenRequestsOfClients() {
+        for (int limit = MIN_GRANTED_LIMIT; limit <= MAX_GRANTED_LIMIT; limit++) {
             DescriptorBudget budget = divide(limit);
             assertTrue(total(budget, USUAL_CALLS) <= limit, budget.toString());
-            assertTrue(budget.clients() * 3 >= limit, "a third is the clients': " + budget);
+            assertTrue(budget.clients() * 3 >= limit, "clients get at least a third: " + budget);
             assertTrue(budget.idleEndpoints() > USUAL_CALLS, "a connection may wait for its next call: " + budget);
         }
     }
 
     @Test
-    void whatIsNotReservedIsUsedToTheLast() {
-        for (int limit = LEAST_GRANTED; limit <= MOST_GRANTED; limit++) {
+    void allUnreservedDescriptorsAreUsed() {
+        for (int limit = MIN_GRANTED_LIMIT; limit <= MAX_GRANTED_LIMIT; limit++) {
             assertEquals(limit, total(divide(limit), USUAL_CALLS));
         }
     }
 
     @Test
-    void callsComeBeforeClientsAndIdleConnections() {
+    void callsTakePrecedenceOverClientsAndIdleConnections() {
         int calls = 120;
-        DescriptorBudget budget = DescriptorBudget.divide(LEAST_GRANTED, USUAL_AT_START, calls);
-        assertEquals(LEAST_GRANTED, total(budget, calls));
+        DescriptorBudget budget = DescriptorBudget.divide(MIN_GRANTED_LIMIT, USUAL_OPEN_AT_START, calls);
+        assertEquals(MIN_GRANTED_LIMIT, total(budget, calls));
         assertEquals(1, budget.idleEndpoints());
     }
 
     @Test
-    void underALimitThatIsTooLowOneOfEachIsLeft() {
-        for (int limit : new int[] {Integer.MIN_VALUE, -1, 0, 1, 64, divide(LEAST_GRANTED).reserved()}) {
+    void tooLowLimitLeavesOneClientAndOneIdleConnection() {
+        for (int limit : new int[] {Integer.MIN_VALUE, -1, 0, 1, 64, divide(MIN_GRANTED_LIMIT).reserved()}) {
             DescriptorBudget budget = divide(limit);
             assertEquals(1, budget.clients(), budget.toString());
             assertEquals(1, budget.idleEndpoints(), budget.toString());
         }
-        DescriptorBudget noRoomForCalls = DescriptorBudget.divide(LEAST_GRANTED, USUAL_AT_START, Integer.MAX_VALUE);
+        DescriptorBudget noRoomForCalls =
+                DescriptorBudget.divide(MIN_GRANTED_LIMIT, USUAL_OPEN_AT_START, Integer.MAX_VALUE);
         assertEquals(1, noRoomForCalls.clients());
         assertEquals(1, noRoomForCalls.idleEndpoints());
     }
 
     @Test
-    void noLimitAtAllOverflowsNothing() {
+    void largestLimitDoesNotOverflow() {
         DescriptorBudget budget = divide(Integer.MAX_VALUE);
         assertTrue(budget.clients() > Integer.MAX_VALUE / 3, budget.toString());
         assertTrue(budget.idleEndpoints() > Integer.MAX_VALUE / 3, budget.toString());
     }
 
     @Test
-    void moreIsReservedForAProcessThatStartsWithMore() {
-        DescriptorBudget few = DescriptorBudget.divide(LEAST_GRANTED, 0, USUAL_CALLS);
-        DescriptorBudget many = DescriptorBudget.divide(LEAST_GRANTED, 60, USUAL_CALLS);
+    void processWithMoreOpenFilesAtStartReservesMore() {
+        DescriptorBudget few = DescriptorBudget.divide(MIN_GRANTED_LIMIT, 0, USUAL_CALLS);
+        DescriptorBudget many = DescriptorBudget.divide(MIN_GRANTED_LIMIT, 60, USUAL_CALLS);
         assertTrue(many.reserved() > few.reserved(), few + ", " + many);
-        assertEquals(LEAST_GRANTED, total(many, USUAL_CALLS));
+        assertEquals(MIN_GRANTED_LIMIT, total(many, USUAL_CALLS));
     }
 
     @Test
-    void whatIsOpenNowIsCounted() throws IOException {
+    void openDescriptorsAreCounted() throws IOException {
         int before = DescriptorBudget.openDescriptors();
         ServerSocket[] opened = new ServerSocket[50];
         for (int i = 0; i < opened.length; i++) {
@@ -86,6 +87,6 @@
             socket.close();
         }
         assertTrue(before > 0);
-        assertTrue(after >= before + opened.length / 2, "other tests' sockets may close meanwhile: " + after);
+        assertTrue(after >= before + opened.length / 2, "sockets of other tests may close in the meantime: " + after);
     }
 }
--- a/src/test/java/starlingvalve/net/EndpointAnswerPropertyTest.java
+++ b/src/test/java/starlingvalve/net/EndpointAnswerPropertyTest.java
@@ -24,30 +24,30 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import starlingvalve.DeliveryPolicy.Outcome;
 import starlingvalve.net.AnswerScript.Answer;
+import starlingvalve.net.AnswerScript.Corruption;
+import starlingvalve.net.AnswerScript.CorruptionKind;
 import starlingvalve.net.AnswerScript.Ending;
 import starlingvalve.net.AnswerScript.Framing;
-import starlingvalve.net.AnswerScript.Moment;
+import starlingvalve.net.AnswerScript.MessageResult;
 import starlingvalve.net.AnswerScript.Spelling;
-import starlingvalve.net.AnswerScript.Spoiling;
-import starlingvalve.net.AnswerScript.Spoilt;
 import starlingvalve.net.AnswerScript.Step;
-import starlingvalve.net.AnswerScript.Stray;
-import starlingvalve.net.AnswerScript.Word;
+import starlingvalve.net.AnswerScript.StrayBytes;
+import starlingvalve.net.AnswerScript.StrayTiming;
 
 /**
- * Whatever bytes an endpoint sends, and whenever: each call gets one end, by the protocol's table, and a message
- * that may not be repeated runs once at most when the sender sends again only what never ran.
+ * Whatever bytes an endpoint sends, and at whatever time, each call ends exactly once, with the outcome that the
+ * protocol's table gives. A message that must not be repeated runs at most once if the sender repeats only attempts that never ran.
  */
 class EndpointAnswerPropertyTest {
     private static final int TRIES = 400;
-    private static final int MOST_STEPS = 4;
-    private static final int MOST_SENDS = 3;
-    /** Time of a call whose answer must come by itself, however busy the machine. */
-    private static final long LONG_MS = 5000;
-    /** Time of a call whose answer never becomes whole and whose connection stays open. */
-    private static final long SHORT_MS = 150;
+    private static final int MAX_STEPS = 4;
+    private static final int MAX_SENDS = 3;
+    /** Time-out of a call that must get its answer or the end of its connection, even on a busy machine. */
+    private static final long LONG_TIMEOUT_MS = 5000;
+    /** Time-out of a call whose answer never becomes complete and whose connection stays open. */
+    private static final long SHORT_TIMEOUT_MS = 150;
     private static final long MARGIN_MS = 3000;
-    private static final long ACCEPT_MS = 1000;
+    private static final long ACCEPT_TIMEOUT_MS = 1000;
 
     private static final EventLoopGroup GROUP = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
@@ -57,14 +57,15 @@
     }
 
     @Property(seed = "20261202", tries = TRIES, edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.BOUNDED)
-    void eachCallHasOneTrueEndAndNothingRunsTwice(@ForAll("scripts") List<Step> script) throws Exception {
+    void eachCallEndsOnceWithTheRightOutcomeAndNoMessageRunsTwice(@ForAll("scripts") List<Step> script)
+            throws Exception {
         assertEquals(List.of(), new Play().violations(script));
     }
 
-    /** A sender and an endpoint that go through a script; what goes wrong is collected in words. */
+    /** Runs a script with a sender and an endpoint, and collects descriptions of the violations. */
     private static final class Play {
         private final List<String> violations = new ArrayList<>();
-        private final Deque<String> again = new ArrayDeque<>();
+        private final Deque<String> repeats = new ArrayDeque<>();
         private final Map<String, Integer> sends = new HashMap<>();
         private EndpointClient client;
         private ScriptedEndpoint endpoint;
@@ -77,7 +78,7 @@
                 for (int number = 0; number < script.size(); number++) {
                     play(number, script.get(number));
                 }
-                client.furtherEnds().forEach(end -> violations.add("a further end: " + end));
+                client.remainingEnds().forEach(end -> violations.add("an additional end: " + end));
                 for (String id : sends.keySet()) {
                     if (endpoint.runs(id) > 1) {
                         violations.add(id + " ran " + endpoint.runs(id) + " times");
@@ -91,21 +92,22 @@
         private void play(int number, Step step) throws Exception {
             List<String> ids = nextMessages(step.size());
             long timeoutMs = timeoutMs(step);
-            int writtenBefore = client.written();
-            int waitsBefore = client.waits().size();
+            int writtenBefore = client.writtenMessages();
+            int retryAftersBefore = client.retryAfters().size();
             endpoint.play(step);
             start(step, ids, timeoutMs);
             List<EndpointClient.End> ends = client.ends(ids.size(), timeoutMs + MARGIN_MS);
-            if (client.written() > writtenBefore) {
+            if (client.writtenMessages() > writtenBefore) {
                 endpoint.awaitArrival(ids, MARGIN_MS);
             }
             client.readAll();
-            List<Double> waits = client.waits().subList(waitsBefore, client.waits().size());
-            for (int place = 0; place < ids.size(); place++) {
-                String id = ids.get(place);
+            List<Double> retryAfters =
+                    client.retryAfters().subList(retryAftersBefore, client.retryAfters().size());
+            for (int index = 0; index < ids.size(); index++) {
+                String id = ids.get(index);
                 List<EndpointClient.End> own = ends.stream().filter(end -> end.id().equals(id)).toList();
                 if (own.size() == 1) {
-                    check(number, step, place, own.get(0), waits);
+                    check(number, step, index, own.get(0), retryAfters);
                 } else {
                     violations.add("step " + number + ": " + id + " has these ends: " + own);
                 }
@@ -113,10 +115,10 @@
             ends.stream().filter(EndpointClient.End::neverRan).forEach(end -> sendAgain(end.id()));
         }
 
-        private List<String> nextMessages(int many) {
+        private List<String> nextMessages(int count) {
             List<String> ids = new ArrayList<>();
-            while (ids.size() < many) {
-                String id = again.isEmpty() ? "m" + messages++ : again.removeFirst();
+            while (ids.size() < count) {
+                String id = repeats.isEmpty() ? "m" + messages++ : repeats.removeFirst();
                 sends.merge(id, 1, Integer::sum);
                 ids.add(id);
             }
@@ -124,27 +126,28 @@
         }
 
         private void sendAgain(String id) {
-            if (sends.get(id) < MOST_SENDS) {
-                again.add(id);
+            if (sends.get(id) < MAX_SENDS) {
+                repeats.add(id);
             }
         }
 
         private long timeoutMs(Step step) {
-            boolean clean = step.spoilt().by().clean() || step.spoilt().by() == Spoiling.STRAY_AFTER;
-            return !clean && step.spoilt().ending() == Ending.SILENCE ? SHORT_MS : LONG_MS;
+            boolean complete = step.corruption().kind().isHarmless()
+                    || step.corruption().kind() == CorruptionKind.STRAY_AFTER;
+            return !complete && step.corruption().ending() == Ending.SILENCE ? SHORT_TIMEOUT_MS : LONG_TIMEOUT_MS;
         }
 
         private void start(Step step, List<String> ids, long timeoutMs) {
-            if (step.moment() == Moment.RESTING_READ) {
-                endpoint.strayOnAll(step.before().bytes());
+            if (step.strayTiming() == StrayTiming.IDLE_READ) {
+                endpoint.writeStrayToAll(step.strayBefore().bytes());
                 client.readAll();
             }
             client.inLoop(() -> {
-                if (step.moment() == Moment.RESTING_UNREAD) {
-                    client.beforeNextStart(() -> endpoint.strayOnAll(step.before().bytes()));
+                if (step.strayTiming() == StrayTiming.IDLE_UNREAD) {
+                    client.beforeNextStart(() -> endpoint.writeStrayToAll(step.strayBefore().bytes()));
                 }
-                if (step.moment() == Moment.AT_ACCEPT) {
-                    startUnderStray(ids, timeoutMs);
+                if (step.strayTiming() == StrayTiming.AT_ACCEPT) {
+                    startWithStrayAtAccept(ids, timeoutMs);
                 } else {
                     client.start(ids, timeoutMs);
                 }
@@ -152,86 +155,90 @@
             });
         }
 
-        /** The loop dials, and hears that the connection is up only once its stray bytes have come. */
-        private void startUnderStray(List<String> ids, long timeoutMs) {
-            client.dropIdle();
-            int before = endpoint.beginStrayAtAccept();
-            Runnable afterDial = () -> endpoint.endStrayAtAccept(before, ACCEPT_MS);
-            // A dial queues its connect, and does so after this question: one task more is behind it.
-            client.beforeNextStart(() -> client.nextInLoop(() -> client.nextInLoop(afterDial)));
+        /** The event loop connects, and handles the new connection only after its stray bytes have arrived. */
+        private void startWithStrayAtAccept(List<String> ids, long timeoutMs) {
+            client.closeIdle();
+            int acceptedBefore = endpoint.beginStrayAtAccept();
+            Runnable afterConnect = () -> endpoint.endStrayAtAccept(acceptedBefore, ACCEPT_TIMEOUT_MS);
+            // The connect is queued as a task only after this callback returns; a second task runs after it.
+            client.beforeNextStart(() -> client.executeInLoop(() -> client.executeInLoop(afterConnect)));
             client.start(ids, timeoutMs);
         }
 
-        private void check(int number, Step step, int place, EndpointClient.End end, List<Double> waits) {
-            ScriptedEndpoint.Fate fate = endpoint.fate(end.id());
+        private void check(int number, Step step, int index, EndpointClient.End end,
+                List<Double> retryAfters) {
+            ScriptedEndpoint.Handling handling = endpoint.handling(end.id());
             Answer answer = step.answer();
-            String where = "step " + number + ": " + end + " with " + fate + ": ";
-            if (end.outcome() == Outcome.DELIVERED && !maySayDelivered(step, place, fate)) {
-                violations.add(where + "nothing said that it was delivered");
+            String where = "step " + number + ": " + end + " with " + handling + ": ";
+            if (end.outcome() == Outcome.DELIVERED && !mayReportDelivery(step, index, handling)) {
+                violations.add(where + "no answer reported a delivery");
             }
-            if (end.neverRan() && fate != null && fate.ran()) {
-                violations.add(where + "it may have run");
+            if (end.neverRan() && handling != null && handling.ran()) {
+                violations.add(where + "it ran");
             }
-            if (end.gone() && !maySayGone(answer, place, fate)) {
-                violations.add(where + "nothing said that it is over");
+            if (end.messageEnded() && !mayReportEnd(answer, index, handling)) {
+                violations.add(where + "no answer reported that it has ended");
             }
-            if (fate != null && fate.clean()) {
-                checkClean(where, step, place, end, fate);
+            if (handling != null && handling.validAnswer()) {
+                checkValidAnswer(where, step, index, end, handling);
             }
-            if (fate != null && wasToldToWait(step, fate) && !heard(answer.waitMs(), end, waits)) {
-                violations.add(where + "the wait of " + answer.waitMs() + " ms was told, and not heard");
+            if (handling != null && hasRetryAfter(step, handling)
+                    && !reported(answer.retryAfterMs(), end, retryAfters)) {
+                violations.add(where + "a retry-after of " + answer.retryAfterMs() + " ms was sent, but not reported");
             }
         }
 
-        private static boolean maySayDelivered(Step step, int place, ScriptedEndpoint.Fate fate) {
-            if (fate == null || step.answer().status() != 200) {
+        private static boolean mayReportDelivery(Step step, int index, ScriptedEndpoint.Handling handling) {
+            if (handling == null || step.answer().status() != 200) {
                 return false;
             }
             if (step.size() == 1) {
-                return fate.firstLineWritten();
+                return handling.statusLineWritten();
             }
-            // What follows a whole answer takes nothing from it: the protocol asks only that it was written.
-            boolean whole = !fate.connectionSpoilt()
-                    && (step.spoilt().by().clean() || step.spoilt().by() == Spoiling.STRAY_AFTER);
-            return whole && step.answer().words().get(place) == Word.ACCEPTED;
+            // Trailing bytes don't invalidate a complete answer: the protocol only requires that it was written.
+            boolean complete = !handling.connectionCorrupted()
+                    && (step.corruption().kind().isHarmless()
+                    || step.corruption().kind() == CorruptionKind.STRAY_AFTER);
+            return complete && step.answer().results().get(index) == MessageResult.ACCEPTED;
         }
 
-        private static boolean maySayGone(Answer answer, int place, ScriptedEndpoint.Fate fate) {
-            boolean toldGone = answer.toBatchWithWords() ? answer.words().get(place) == Word.EXPIRED
+        private static boolean mayReportEnd(Answer answer, int index, ScriptedEndpoint.Handling handling) {
+            boolean reportedEnd = answer.hasMessageResults() ? answer.results().get(index) == MessageResult.EXPIRED
                     : answer.status() == 410;
-            return toldGone && fate != null && fate.firstLineWritten();
+            return reportedEnd && handling != null && handling.statusLineWritten();
         }
 
-        private void checkClean(String where, Step step, int place, EndpointClient.End end,
-                ScriptedEndpoint.Fate fate) {
+        private void checkValidAnswer(String where, Step step, int index, EndpointClient.End end,
+                ScriptedEndpoint.Handling handling) {
             Answer answer = step.answer();
             if (provesNothing(step)) {
                 checkMayHaveRun(where, end);
                 return;
             }
-            Outcome expected = answer.toBatchWithWords() ? outcome(answer.words().get(place))
-                    : outcome(answer, fate);
-            boolean gone = answer.toBatchWithWords() ? answer.words().get(place) == Word.EXPIRED
+            Outcome expected = answer.hasMessageResults() ? outcome(answer.results().get(index))
+                    : outcome(answer, handling);
+            boolean messageEnded = answer.hasMessageResults() ? answer.results().get(index) == MessageResult.EXPIRED
                     : answer.status() == 410;
-            if (end.outcome() != expected || end.gone() != gone) {
-                violations.add(where + "the answer says " + expected + (gone ? " and over" : ""));
+            if (end.outcome() != expected || end.messageEnded() != messageEnded) {
+                violations.add(where + "the answer says " + expected
+                        + (messageEnded ? " and that the message has ended" : ""));
             }
         }
 
-        /** One that ends with its connection may be cut anywhere: only a first line with 200 counts in it. */
+        /** An answer that ends with its connection may be truncated anywhere: only a status line with 200 counts. */
         private static boolean provesNothing(Step step) {
-            boolean delivered = step.answer().status() == 200 && step.answer().words().size() == 1;
+            boolean delivered = step.answer().status() == 200 && step.answer().results().size() == 1;
             return step.endsWithConnection() && !delivered;
         }
 
         private void checkMayHaveRun(String where, EndpointClient.End end) {
-            if (!end.outcome().mayHaveRun() || end.gone()) {
+            if (!end.outcome().mayHaveRun() || end.messageEnded()) {
                 violations.add(where + "an answer without a length proves nothing");
             }
         }
 
-        private static Outcome outcome(Word word) {
-            return switch (word) {
+        private static Outcome outcome(MessageResult result) {
+            return switch (result) {
                 case ACCEPTED -> Outcome.DELIVERED;
                 case FAULT -> Outcome.ERROR;
                 case DEFERRED -> Outcome.FULL;
@@ -239,63 +246,64 @@
             };
         }
 
-        private static Outcome outcome(Answer answer, ScriptedEndpoint.Fate fate) {
-            boolean single = answer.words().size() == 1;
+        private static Outcome outcome(Answer answer, ScriptedEndpoint.Handling handling) {
+            boolean single = answer.results().size() == 1;
             return switch (answer.status()) {
                 case 200 -> Outcome.DELIVERED;
                 case 429 -> Outcome.FULL;
-                case 503 -> refusal(answer, fate);
+                case 503 -> refusal(answer, handling);
                 case 504, 410 -> Outcome.NOT_SENT;
-                // To a single message: it is one that no client handed in, and is not to be sent again.
+                // A client can't have submitted such a single message, and it must not be sent again.
                 case 400, 413 -> single ? Outcome.ERROR : Outcome.NOT_SENT;
                 default -> Outcome.ERROR;
             };
         }
 
-        /** One that ends a new connection refuses the connection; all others refuse the message, or the slot. */
-        private static Outcome refusal(Answer answer, ScriptedEndpoint.Fate fate) {
+        /** A refusal that closes a new connection refuses the connection; any other one the message or the slot. */
+        private static Outcome refusal(Answer answer, ScriptedEndpoint.Handling handling) {
             if (answer.noSlot()) {
                 return Outcome.NOT_SENT;
             }
-            return fate.newConnection() && !answer.keepAlive() ? Outcome.NO_CONNECTION : Outcome.FULL;
+            return handling.newConnection() && !answer.keepAlive() ? Outcome.NO_CONNECTION : Outcome.FULL;
         }
 
-        /** Whether the wait stands in a head that can be read, on a connection that carried nothing else. */
-        private static boolean wasToldToWait(Step step, ScriptedEndpoint.Fate fate) {
-            boolean readable = step.spoilt().by() != Spoiling.BAD_HEADER && fate.headWritten();
-            boolean lost = !step.spoilt().by().clean() && step.spoilt().ending() == Ending.RESET;
-            return step.answer().isRefusal() && step.answer().waitMs() > 0 && readable && !lost
-                    && !fate.connectionSpoilt();
+        /** Whether the answer has a Retry-After in a readable head, on a connection that was not corrupted before. */
+        private static boolean hasRetryAfter(Step step, ScriptedEndpoint.Handling handling) {
+            boolean readable = step.corruption().kind() != CorruptionKind.BAD_HEADER && handling.headWritten();
+            boolean lost = !step.corruption().kind().isHarmless() && step.corruption().ending() == Ending.RESET;
+            return step.answer().isRefusal() && step.answer().retryAfterMs() > 0 && readable && !lost
+                    && !handling.connectionCorrupted();
         }
 
-        private static boolean heard(int waitMs, EndpointClient.End end, List<Double> waits) {
-            return end.waitMs() == waitMs || waits.contains((double) waitMs);
+        private static boolean reported(int retryAfterMs, EndpointClient.End end, List<Double> retryAfters) {
+            return end.retryAfterMs() == retryAfterMs || retryAfters.contains((double) retryAfterMs);
         }
     }
 
     @Provide
     Arbitrary<List<Step>> scripts() {
-        return steps().list().ofMinSize(1).ofMaxSize(MOST_STEPS);
+        return steps().list().ofMinSize(1).ofMaxSize(MAX_STEPS);
     }
 
     private static Arbitrary<Step> steps() {
         Arbitrary<Integer> sizes = Arbitraries.frequency(Tuple.of(3, 1), Tuple.of(1, 2), Tuple.of(1, 3));
-        return sizes.flatMap(size -> Combinators.combine(moments(), strays(), answers(size), spoilt())
-                .as((moment, stray, answer, spoilt) -> new Step(size, moment, stray, answer, spoilt)));
+        return sizes.flatMap(size -> Combinators.combine(strayTimings(), strayBytes(), answers(size), corruption())
+                .as((timing, stray, answer, corruption) -> new Step(size, timing, stray, answer, corruption)));
     }
 
-    private static Arbitrary<Moment> moments() {
-        return Arbitraries.frequency(Tuple.of(6, Moment.NONE), Tuple.of(1, Moment.RESTING_READ),
-                Tuple.of(1, Moment.RESTING_UNREAD), Tuple.of(1, Moment.AT_ACCEPT));
+    private static Arbitrary<StrayTiming> strayTimings() {
+        return Arbitraries.frequency(Tuple.of(6, StrayTiming.NONE), Tuple.of(1, StrayTiming.IDLE_READ),
+                Tuple.of(1, StrayTiming.IDLE_UNREAD), Tuple.of(1, StrayTiming.AT_ACCEPT));
     }
 
-    private static Arbitrary<Stray> strays() {
-        Arbitrary<Stray> known = Arbitraries.of("\r\n", "HTTP/1.1 503 Serv", "HTTP/1.1 200 ",
+    private static Arbitrary<StrayBytes> strayBytes() {
+        Arbitrary<StrayBytes> known = Arbitraries.of("\r\n", "HTTP/1.1 503 Serv", "HTTP/1.1 200 ",
                 "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 429 x\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 200 x\r\nContent-Length: 0\r\n\r\n",
-                "HTTP/1.1 503 x\r\nContent-Length: 1000\r\n\r\n").map(Stray::of);
-        Arbitrary<Stray> random = Arbitraries.bytes().array(byte[].class).ofMinSize(1).ofMaxSize(40).map(Stray::new);
+                "HTTP/1.1 503 x\r\nContent-Length: 1000\r\n\r\n").map(StrayBytes::of);
+        Arbitrary<StrayBytes> random =
+                Arbitraries.bytes().array(byte[].class).ofMinSize(1).ofMaxSize(40).map(StrayBytes::new);
         return Arbitraries.frequencyOf(Tuple.of(3, known), Tuple.of(1, random));
     }
 
@@ -304,23 +312,24 @@
                 ? Arbitraries.of(200, 500, 429, 503, 504, 410, 400, 413)
                 : Arbitraries.frequency(Tuple.of(4, 200), Tuple.of(1, 500), Tuple.of(1, 429), Tuple.of(1, 503),
                         Tuple.of(1, 400), Tuple.of(1, 413));
-        Arbitrary<List<Word>> words = Arbitraries.of(Word.class).list().ofSize(size);
-        Arbitrary<Integer> waits = Arbitraries.of(0, 250, 1500);
+        Arbitrary<List<MessageResult>> results = Arbitraries.of(MessageResult.class).list().ofSize(size);
+        Arbitrary<Integer> retryAfters = Arbitraries.of(0, 250, 1500);
         Arbitrary<Integer> bodyLengths = Arbitraries.integers().between(0, 40);
-        return Combinators.combine(statuses, Arbitraries.of(false, true), waits, words, bodyLengths,
+        return Combinators.combine(statuses, Arbitraries.of(false, true), retryAfters, results, bodyLengths,
                 Arbitraries.of(Framing.class), Arbitraries.of(true, true, true, false), Arbitraries.of(Spelling.class))
-                .as((status, noSlot, wait, told, length, framing, keep, spelling) -> new Answer(status,
-                        noSlot && status == 503, wait, told, length, framing, keep, spelling));
+                .as((status, noSlot, retryAfter, resultList, length, framing, keepAlive, spelling) -> new Answer(status,
+                        noSlot && status == 503, retryAfter, resultList, length, framing, keepAlive, spelling));
     }
 
-    private static Arbitrary<Spoilt> spoilt() {
-        Arbitrary<Spoiling> ways = Arbitraries.frequency(Tuple.of(6, Spoiling.NONE), Tuple.of(2, Spoiling.SPLIT),
-                Tuple.of(3, Spoiling.CUT), Tuple.of(2, Spoiling.STRAY_AFTER), Tuple.of(1, Spoiling.LENGTH_TOO_LONG),
-                Tuple.of(1, Spoiling.LENGTH_TOO_SHORT), Tuple.of(1, Spoiling.BAD_CHUNK),
-                Tuple.of(1, Spoiling.BAD_STATUS_LINE), Tuple.of(1, Spoiling.BAD_HEADER));
+    private static Arbitrary<Corruption> corruption() {
+        Arbitrary<CorruptionKind> kinds = Arbitraries.frequency(Tuple.of(6, CorruptionKind.NONE),
+                Tuple.of(2, CorruptionKind.SPLIT), Tuple.of(3, CorruptionKind.TRUNCATED),
+                Tuple.of(2, CorruptionKind.STRAY_AFTER), Tuple.of(1, CorruptionKind.LENGTH_TOO_LONG),
+                Tuple.of(1, CorruptionKind.LENGTH_TOO_SHORT), Tuple.of(1, CorruptionKind.BAD_CHUNK),
+                Tuple.of(1, CorruptionKind.BAD_STATUS_LINE), Tuple.of(1, CorruptionKind.BAD_HEADER));
         Arbitrary<Ending> endings = Arbitraries.frequency(Tuple.of(3, Ending.FIN), Tuple.of(2, Ending.RESET),
                 Tuple.of(2, Ending.SILENCE));
-        return Combinators.combine(ways, Arbitraries.integers().between(0, 999),
-                Arbitraries.integers().between(0, 30), endings, strays()).as(Spoilt::new);
+        return Combinators.combine(kinds, Arbitraries.integers().between(0, 999),
+                Arbitraries.integers().between(0, 30), endings, strayBytes()).as(Corruption::new);
     }
 }
--- a/src/test/java/starlingvalve/net/EndpointClient.java
+++ b/src/test/java/starlingvalve/net/EndpointClient.java
@@ -12,79 +12,83 @@
 import java.util.concurrent.TimeUnit;
 import starlingvalve.DeliveryPolicy.Outcome;
 
-/** The calls of a sender to one endpoint, and all that is told of them. */
+/** Makes a sender's calls to one endpoint, and records what is reported about them. */
 final class EndpointClient extends PermissiveEndpointCallbacks {
-    /** How a call ended. */
-    record End(String id, Outcome outcome, boolean gone, double waitMs) {
-        /** Whether the sender may send the message again, whatever its class. */
+    /** How the attempt of one message ended. */
+    record End(String id, Outcome outcome, boolean messageEnded, double retryAfterMs) {
+        /** Whether the sender may send the message again, regardless of its class. */
         boolean neverRan() {
-            return outcome != Outcome.DELIVERED && !outcome.mayHaveRun() && !gone;
+            return outcome != Outcome.DELIVERED && !outcome.mayHaveRun() && !messageEnded;
         }
     }
 
     private static final long ENDPOINT = 1;
-    private static final int BATCH = 3;
+    private static final int MAX_BATCH = 3;
 
     private final EventLoop loop;
     private final Endpoints endpoints;
     private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
-    private final List<Double> waits = new CopyOnWriteArrayList<>();
-    private volatile int written;
-    /** Used on the loop. */
+    private final List<Double> retryAfters = new CopyOnWriteArrayList<>();
+    private volatile int writtenMessages;
+    /** Used on the event loop only. */
     private Runnable beforeNextStart = () -> { };
-    private Runnable whenNextEnds = () -> { };
+    private Runnable afterNextEnd = () -> { };
 
     EndpointClient(EventLoop loop, InetSocketAddress address) {
         this.loop = loop;
         this.endpoints = new Endpoints(loop, 1000, 15_000, 1, 4, this);
         inLoop(() -> {
-            endpoints.at(ENDPOINT, address, true, 0, BATCH);
+            endpoints.at(ENDPOINT, address, true, 0, MAX_BATCH);
             return null;
         });
     }
 
-    /** Runs this on the loop, which reads nothing meanwhile. */
+    /** Runs a task on the event loop, which reads nothing in the meantime, and waits for it. */
     <T> T inLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    /** Runs this on the loop after what it has queued by now, such as a dial, and before it reads again. */
-    void nextInLoop(Runnable task) {
+    /** Runs a task on the event loop after the tasks queued so far, such as a connect, and before it reads again. */
+    void executeInLoop(Runnable task) {
         loop.execute(task);
     }
 
-    /** Runs this once, on the loop that has just read, when the next call is about to look for a connection or to dial. */
+    /**
+     * Runs a task once on the event loop, which has just read its input, before the next call selects or opens a
+     * connection.
+     */
     void beforeNextStart(Runnable task) {
         beforeNextStart = task;
     }
 
-    /** Runs this once, on the loop, when the next call has ended. */
-    void whenNextEnds(Runnable task) {
-        whenNextEnds = task;
+    /** Runs a task once on the event loop, after the next call has ended. */
+    void afterNextEnd(Runnable task) {
+        afterNextEnd = task;
     }
 
-    /** Returns once the loop has read, and done what followed from it. */
+    /** Waits until the event loop has read its input and handled it. */
     void readAll() {
-        for (int turn = 0; turn < 3; turn++) {
+        for (int pass = 0; pass < 3; pass++) {
             inLoop(() -> null);
         }
     }
 
-    /** Starts one exchange with these messages; on the loop. */
+    /** Starts one exchange with these messages; to be called on the event loop. */
     void start(List<String> ids, double timeoutMs) {
         for (String id : ids) {
-            AcceptedMessage held =
+            AcceptedMessage message =
                     new AcceptedMessage(0, id, "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[5]);
-            endpoints.call(held, 0, ENDPOINT, timeoutMs);
+            endpoints.call(message, 0, ENDPOINT, timeoutMs);
         }
         endpoints.flush();
     }
 
-    /** Drops the connections that rest; on the loop. */
-    void dropIdle() {
+    /** Closes the idle connections; to be called on the event loop. */
+    void closeIdle() {
         endpoints.closeIdle(ENDPOINT);
     }
 
+    /** Closes all connections once they are idle. */
     void stop() {
         inLoop(() -> {
             endpoints.keepNone();
@@ -92,33 +96,33 @@
         });
     }
 
-    /** So many ends, or fewer if they do not come in time. */
-    List<End> ends(int many, long limitMs) throws InterruptedException {
-        List<End> told = new ArrayList<>();
-        long end = System.nanoTime() + limitMs * 1_000_000;
-        while (told.size() < many) {
-            End next = ends.poll(end - System.nanoTime(), TimeUnit.NANOSECONDS);
+    /** Waits for this number of ends; returns fewer if the time-out passes. */
+    List<End> ends(int count, long timeoutMs) throws InterruptedException {
+        List<End> received = new ArrayList<>();
+        long endNanos = System.nanoTime() + timeoutMs * 1_000_000;
+        while (received.size() < count) {
+            End next = ends.poll(endNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
             if (next == null) {
                 break;
             }
-            told.add(next);
+            received.add(next);
         }
-        return told;
+        return received;
     }
 
-    /** Ends that nobody has asked for. */
-    List<End> furtherEnds() {
+    /** The ends that {@link #ends} has not returned. */
+    List<End> remainingEnds() {
         return new ArrayList<>(ends);
     }
 
-    /** Messages that were written whole so far. */
-    int written() {
-        return written;
+    /** Number of messages that were completely written so far. */
+    int writtenMessages() {
+        return writtenMessages;
     }
 
-    /** Waits that were told with whole answers so far. */
-    List<Double> waits() {
-        return waits;
+    /** The retry-after values received so far, in milliseconds. */
+    List<Double> retryAfters() {
+        return retryAfters;
     }
 
     @Override
@@ -130,20 +134,20 @@
     }
 
     @Override
-    public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs, boolean open) {
-        ends.add(new End(call.held.id, outcome, gone, waitMs));
-        Runnable task = whenNextEnds;
-        whenNextEnds = () -> { };
+    public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double waitMs, boolean open) {
+        ends.add(new End(call.held.id, outcome, messageEnded, waitMs));
+        Runnable task = afterNextEnd;
+        afterNextEnd = () -> { };
         task.run();
     }
 
     @Override
     public void waitTold(long endpoint, double waitMs) {
-        waits.add(waitMs);
+        retryAfters.add(waitMs);
     }
 
     @Override
     public void written(int messages) {
-        written += messages;
+        writtenMessages += messages;
     }
 }
--- a/src/test/java/starlingvalve/net/LongBudgetTest.java
+++ b/src/test/java/starlingvalve/net/LongBudgetTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A client that names the longest time there is takes nothing from the messages of others. */
+/** Guards against a message with the largest possible budget keeping other messages from being ended in time. */
 class LongBudgetTest extends SenderFixture {
     private static final long BUDGET_MS = 2000;
 
@@ -13,14 +13,15 @@
         assertEquals("HTTP/1.1 202 Accepted", ask(client(), request).line());
     }
 
+    /** The delivery policy never learns of the second message, so only the deadline watchdog can end it. */
     @Test
-    void aMessageThatTheModuleWasNotToldOfIsEndedThoughAnotherHasTheLongestTime() throws Exception {
+    void messageUnknownToThePolicyIsEndedDespiteAnotherWithTheLargestBudget() throws Exception {
         start();
         handIn("long", Long.MAX_VALUE);
         awaitNothingHeld();
         beforeEvent = (event, arguments) -> {
             if (event.equals("message")) {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("injected by the test");
             }
         };
         handIn("forgotten", BUDGET_MS);
--- a/src/test/java/starlingvalve/net/MessageRulesTest.java
+++ b/src/test/java/starlingvalve/net/MessageRulesTest.java
@@ -11,11 +11,11 @@
 import starlingvalve.net.MessageRules.RepeatPolicy;
 import starlingvalve.net.MessageRules.Violation;
 
-/** For each rule a message that breaks it, and one that only looks like it. */
+/** Checks each rule with a case that violates it, and with a similar one that does not. */
 class MessageRulesTest {
     private static final long WINDOW_MS = 1000;
     private static final long DEADLINE_MS = 5000;
-    private static final long LATE_MS = 300;
+    private static final long MAX_LATENESS_MS = 300;
     private static final Map<String, RepeatPolicy> CLASSES = Map.of("safe", new RepeatPolicy(Effect.SAFE, 0), "keyed",
             new RepeatPolicy(Effect.KEYED, WINDOW_MS), "unsafe", new RepeatPolicy(Effect.UNSAFE, 0));
 
@@ -23,14 +23,14 @@
     private final MessageRules rules = new MessageRules(() -> nowMs,
             name -> Optional.ofNullable(CLASSES.get(name)), EventLog.ofThisProcess());
 
-    /** A message with one attempt that has begun, and one that is about to. */
+    /** A message with one attempt that may have run, and one that is about to be sent. */
     private static AcceptedMessage repeated(String messageClass) {
-        AcceptedMessage held = new AcceptedMessage(1, "id", messageClass, "", Optional.empty(), Optional.empty(), 7,
+        AcceptedMessage message = new AcceptedMessage(1, "id", messageClass, "", Optional.empty(), Optional.empty(), 7,
                 DEADLINE_MS, new byte[0]);
-        held.attempts.add(new AcceptedMessage.Attempt("s-0", 0));
-        held.attempts.get(0).neverRan = false;
-        held.attempts.add(new AcceptedMessage.Attempt("s-1", 0));
-        return held;
+        message.attempts.add(new AcceptedMessage.Attempt("s-0", 0));
+        message.attempts.get(0).neverRan = false;
+        message.attempts.add(new AcceptedMessage.Attempt("s-1", 0));
+        return message;
     }
 
     private void assertForbidden(boolean allowed, Violation violation) {
@@ -39,51 +39,51 @@
     }
 
     @Test
-    void aMessageThatIsOverIsNotSent() {
-        AcceptedMessage over = repeated("safe");
-        assertTrue(rules.maySend(over, 1));
-        over.ended = true;
-        assertForbidden(rules.maySend(over, 1), Violation.SENT_AFTER_END);
+    void endedMessageIsNotSent() {
+        AcceptedMessage message = repeated("safe");
+        assertTrue(rules.maySend(message, 1));
+        message.ended = true;
+        assertForbidden(rules.maySend(message, 1), Violation.SENT_AFTER_END);
     }
 
     @Test
-    void aMessageWhoseEndIsReadIsNotSent() {
-        AcceptedMessage read = repeated("safe");
-        read.endReceived = true;
-        assertForbidden(rules.maySend(read, 1), Violation.SENT_AFTER_END);
+    void messageWhoseEndWasReceivedIsNotSent() {
+        AcceptedMessage message = repeated("safe");
+        message.endReceived = true;
+        assertForbidden(rules.maySend(message, 1), Violation.SENT_AFTER_END);
     }
 
     @Test
-    void whatMayRunOnlyOnceIsNotSentAgainUnlessItNeverRan() {
-        AcceptedMessage once = repeated("unsafe");
-        assertTrue(rules.maySend(once, 0), "the attempt itself is no repeat");
-        assertForbidden(rules.maySend(once, 1), Violation.REPEATED_ONCE_ONLY);
-        once.attempts.get(0).neverRan = true;
-        assertTrue(rules.maySend(once, 1));
+    void unsafeMessageIsSentAgainOnlyIfItNeverRan() {
+        AcceptedMessage message = repeated("unsafe");
+        assertTrue(rules.maySend(message, 0), "the attempt itself is not a repeat");
+        assertForbidden(rules.maySend(message, 1), Violation.REPEATED_ONCE_ONLY);
+        message.attempts.get(0).neverRan = true;
+        assertTrue(rules.maySend(message, 1));
     }
 
     @Test
-    void whatIsKeyedIsSentAgainInItsWindowOnly() {
-        AcceptedMessage keyed = repeated("keyed");
+    void keyedMessageIsSentAgainOnlyWithinItsWindow() {
+        AcceptedMessage message = repeated("keyed");
         nowMs = WINDOW_MS;
-        assertTrue(rules.maySend(keyed, 1));
+        assertTrue(rules.maySend(message, 1));
         nowMs = WINDOW_MS + 1;
-        assertForbidden(rules.maySend(keyed, 1), Violation.REPEATED_AFTER_WINDOW);
-        keyed.attempts.get(0).neverRan = true;
-        assertTrue(rules.maySend(keyed, 1));
+        assertForbidden(rules.maySend(message, 1), Violation.REPEATED_AFTER_WINDOW);
+        message.attempts.get(0).neverRan = true;
+        assertTrue(rules.maySend(message, 1));
     }
 
     @Test
-    void aMessageEndsOnce() {
-        AcceptedMessage held = repeated("safe");
-        assertTrue(rules.mayEnd(held));
-        held.ended = true;
-        assertForbidden(rules.mayEnd(held), Violation.ENDED_TWICE);
+    void messageEndsOnlyOnce() {
+        AcceptedMessage message = repeated("safe");
+        assertTrue(rules.mayEnd(message));
+        message.ended = true;
+        assertForbidden(rules.mayEnd(message), Violation.ENDED_TWICE);
     }
 
     @Test
-    void anEndThatIsHeardLateIsCounted() {
-        nowMs = DEADLINE_MS + LATE_MS;
+    void lateAcknowledgementOfAnEndIsCounted() {
+        nowMs = DEADLINE_MS + MAX_LATENESS_MS;
         rules.endAcknowledged(repeated("safe"));
         assertEquals(0, rules.count(Violation.ENDED_LATE));
         nowMs++;
@@ -92,14 +92,14 @@
     }
 
     @Test
-    void aConnectionUnderARequestIsClosedOnlyForWhatItsClientDid() {
+    void connectionIsClosedDuringARequestOnlyForItsClientsBehaviour() {
         for (SubmissionServer.CloseReason reason : SubmissionServer.CloseReason.values()) {
             assertTrue(MessageRules.mayClose(reason, false));
-            boolean clients = switch (reason) {
+            boolean causedByClient = switch (reason) {
                 case REQUEST_NOT_WHOLE, BROKEN, PEER -> true;
                 case IDLE, MAKES_ROOM, NO_ROOM, SENT_AWAY -> false;
             };
-            assertEquals(clients, MessageRules.mayClose(reason, true), reason.name());
+            assertEquals(causedByClient, MessageRules.mayClose(reason, true), reason.name());
         }
     }
 }
--- a/src/test/java/starlingvalve/net/RepeatedIdTest.java
+++ b/src/test/java/starlingvalve/net/RepeatedIdTest.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A client that lost the answer hands its message in once more, with the id that it had: what is owed then. */
+/** A client that did not get the answer submits its message again with the same id: what it gets, and what is sent. */
 class RepeatedIdTest extends SenderFixture {
-    private StubServer.Message handInAgain(String id, String type) throws IOException {
+    private StubServer.Message submitAgain(String id, String type) throws IOException {
         return ask(client(), message(id, type, "hello"));
     }
 
     private void assertDeliveredOnce(String id, String type) throws Exception {
-        assertEquals("HTTP/1.1 202 Accepted", handInAgain(id, type).line());
-        // Its own delivery comes after anything that the repeat could have led to.
+        assertEquals("HTTP/1.1 202 Accepted", submitAgain(id, type).line());
+        // This message is delivered after anything that the repeated request could have caused.
         handIn("after-" + id, type);
         awaitNothingHeld();
         assertEquals(1, callsWith(id));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aDeliveredMessageIsAcceptedAgainAndNotSent() throws Exception {
+    void repeatOfADeliveredMessageIsAcceptedAndNotSent() throws Exception {
         start();
         for (String type : List.of("once", "order", "plain")) {
             handIn("id-" + type, type);
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void aMessageThatWasDeliveredBeforeAKillIsNotSentAgain() throws Exception {
+    void messageDeliveredBeforeAKillIsNotSentAgain() throws Exception {
         start();
         handIn("id", "once");
         awaitNothingHeld();
@@ -50,57 +50,58 @@
     }
 
     @Test
-    void aMessageThatWasGivenUpStaysSo() throws Exception {
+    void repeatOfAFailedMessageIsAnsweredWithItsFailure() throws Exception {
         script(StubServer.status(500, ""));
         start();
         handIn("id", "once");
         awaitNotice("dead");
-        assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
+        assertEquals("HTTP/1.1 410 Gone", submitAgain("id", "once").line());
         killAndStart();
-        assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
+        assertEquals("HTTP/1.1 410 Gone", submitAgain("id", "once").line());
         assertEquals(1, callsWith("id"));
-        assertEquals(1, notices.size(), "its end is told once");
+        assertEquals(1, notices.size(), "the platform is notified once");
     }
 
-    /** Its notice is not heard yet, so it is over but for the telling. */
+    /** The message has ended, though the platform has not acknowledged the notice of its end yet. */
     @Test
-    void aMessageWhoseNoticeIsStillOwedIsNotTakenAgain() throws Exception {
+    void messageWithAPendingNoticeIsNotAcceptedAgain() throws Exception {
         reportStatus = 500;
         script(StubServer.status(500, ""));
         start();
         handIn("id", "once");
-        StubServer.await("the notice is owed", () -> journalled().stream().anyMatch(held -> held.pendingNotice.isPresent()));
-        assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
+        StubServer.await("the notice is journalled",
+                () -> journalled().stream().anyMatch(message -> message.pendingNotice.isPresent()));
+        assertEquals("HTTP/1.1 410 Gone", submitAgain("id", "once").line());
         killAndStart();
-        assertEquals("HTTP/1.1 410 Gone", handInAgain("id", "once").line());
+        assertEquals("HTTP/1.1 410 Gone", submitAgain("id", "once").line());
         reportStatus = 204;
         awaitNotice("dead");
         assertEquals(1, callsWith("id"));
     }
 
     @Test
-    void aMessageThatWasHandedBackIsRefusedAgain() throws Exception {
+    void repeatOfAReturnedMessageIsRefused() throws Exception {
         earlierLife("order", 0, 24_000, true);
         start();
         awaitNotice("bounced");
-        StubServer.Message answer = handInAgain("old", "order");
+        StubServer.Message answer = submitAgain("old", "order");
         assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
         assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
         assertEquals(0, callsWith("old"));
     }
 
-    /** What nobody heard was taken is forgotten: the id is new when it comes again. */
+    /** A message whose acceptance no client has received is dropped, so its id counts as new when submitted again. */
     @Test
-    void aMessageThatNobodyHeardWasTakenIsTakenWhenItComesAgain() throws Exception {
+    void messageWithoutAcknowledgedAcceptanceIsAcceptedWhenSubmittedAgain() throws Exception {
         start();
-        Socket lost = client();
+        Socket lostConnection = client();
         beforeEvent = (event, arguments) -> {
             if (event.equals("turnsAway")) {
-                reset(lost);
+                reset(lostConnection);
             }
         };
-        StubServer.write(lost, message("id", "once", "hello"));
-        StubServer.await("it is let go", () -> journalled().isEmpty() && lost.isClosed());
+        StubServer.write(lostConnection, message("id", "once", "hello"));
+        StubServer.await("the message is dropped", () -> journalled().isEmpty() && lostConnection.isClosed());
         beforeEvent = (event, arguments) -> { };
         handIn("id", "once");
         awaitNothingHeld();
@@ -116,18 +117,18 @@
         }
     }
 
-    /** One of two requests with an id loses its answer, the other is told that the message was taken. */
+    /** Of two requests with the same id one loses its answer, and the other one gets it. */
     @Test
-    void aMessageIsKeptAsLongAsOneOfItsAnswersMayBeHeard() {
-        AcceptedMessage held = new AcceptedMessage(1, "id", "once", "acme", Optional.empty(), Optional.empty(), 7, 0,
+    void acceptanceIsPendingWhileAnAnswerMayStillBeWritten() {
+        AcceptedMessage message = new AcceptedMessage(1, "id", "once", "acme", Optional.empty(), Optional.empty(), 7, 0,
                 new byte[0]);
-        held.addPendingAnswer();
-        held.addPendingAnswer();
-        assertEquals(AcceptedMessage.Acknowledgement.PENDING, held.answerCompleted(false));
-        assertEquals(AcceptedMessage.Acknowledgement.ACKNOWLEDGED, held.answerCompleted(true));
-        held.addPendingAnswer();
-        held.addPendingAnswer();
-        assertEquals(AcceptedMessage.Acknowledgement.PENDING, held.answerCompleted(false));
-        assertEquals(AcceptedMessage.Acknowledgement.UNACKNOWLEDGED, held.answerCompleted(false));
+        message.addPendingAnswer();
+        message.addPendingAnswer();
+        assertEquals(AcceptedMessage.Acknowledgement.PENDING, message.answerCompleted(false));
+        assertEquals(AcceptedMessage.Acknowledgement.ACKNOWLEDGED, message.answerCompleted(true));
+        message.addPendingAnswer();
+        message.addPendingAnswer();
+        assertEquals(AcceptedMessage.Acknowledgement.PENDING, message.answerCompleted(false));
+        assertEquals(AcceptedMessage.Acknowledgement.UNACKNOWLEDGED, message.answerCompleted(false));
     }
 }
--- a/src/test/java/starlingvalve/net/ScriptedEndpoint.java
+++ b/src/test/java/starlingvalve/net/ScriptedEndpoint.java
@@ -14,83 +14,100 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
+import starlingvalve.net.AnswerScript.CorruptionKind;
 import starlingvalve.net.AnswerScript.Ending;
-import starlingvalve.net.AnswerScript.Spoiling;
 import starlingvalve.net.AnswerScript.Step;
 
 /**
- * An endpoint that plays one step of a script at a time and keeps account of what it ran. It ran no message that
- * it turned away by a whole answer on a connection that carried nothing but answers before, whatever came behind it but an
- * answer of another status; whatever it answered in any other way counts as run.
+ * An endpoint that executes one step of a script at a time and records which messages it ran. A message counts as not
+ * run if the endpoint refused it with a complete answer, on a connection that had carried nothing but valid answers,
+ * and nothing followed that may be an answer with another status. All other messages that it answered count as run.
  */
 final class ScriptedEndpoint implements AutoCloseable {
-    /** What became of one message of a step at this endpoint. */
-    record Fate(boolean ran, boolean clean, boolean connectionSpoilt, boolean firstLineWritten,
+    /**
+     * What this endpoint did with one message of a step.
+     *
+     * @param validAnswer whether the answer was valid, and on a connection that had not been corrupted before
+     * @param connectionCorrupted whether the connection had been corrupted before this answer
+     * @param newConnection whether this was the first answer on its connection
+     */
+    record Handling(boolean ran, boolean validAnswer, boolean connectionCorrupted, boolean statusLineWritten,
             boolean headWritten, boolean newConnection) {
     }
 
     private final ServerSocket server;
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-    /** Run counts over the whole script, by id. */
+    /** How often each message ran in the whole script, by id. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
-    /** Fates in the current step, by id. */
-    private final Map<String, Fate> fates = new ConcurrentHashMap<>();
+    /** What was done with each message of the current step, by id. */
+    private final Map<String, Handling> handlings = new ConcurrentHashMap<>();
     private final Runnable clientReads;
     private volatile Step step;
     private boolean strayAtAccept;
     private int accepted;
 
-    /** {@code clientReads} returns once the client has read all that was written to it. */
+    /** {@code clientReads} returns once the client has read everything that was written to it. */
     ScriptedEndpoint(Runnable clientReads) throws IOException {
         this.clientReads = clientReads;
         this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    /** From now on this is the step that is played. */
-    void play(Step next) {
-        fates.clear();
-        step = next;
+    /** Sets the step that is executed from now on. */
+    void play(Step newStep) {
+        handlings.clear();
+        step = newStep;
     }
 
-    /** What became of a message in this step; null if it did not arrive. */
-    Fate fate(String id) {
-        return fates.get(id);
+    /** What was done with a message in this step; null if it did not arrive. */
+    Handling handling(String id) {
+        return handlings.get(id);
     }
 
-    /** Waits until these messages have arrived, or no connection is left on which they could; not for long. */
-    void awaitArrival(List<String> ids, long limitMs) throws InterruptedException {
-        long end = System.nanoTime() + limitMs * 1_000_000;
-        while (!fates.keySet().containsAll(ids) && !connections.isEmpty() && System.nanoTime() < end) {
+    /** Waits until these messages have arrived, no connection is left on which they could, or the time limit passes. */
+    void awaitArrival(List<String> ids, long timeoutMs) throws InterruptedException {
+        long endNanos = System.nanoTime() + timeoutMs * 1_000_000;
+        while (!handlings.keySet().containsAll(ids) && !connections.isEmpty() && System.nanoTime() < endNanos) {
             Thread.sleep(1);
         }
     }
 
+    /** How often a message ran. */
     int runs(String id) {
         return runs.getOrDefault(id, 0);
     }
 
-    /** Writes bytes that belong to nothing to all open connections. */
-    void strayOnAll(byte[] bytes) {
+    /** Writes bytes that do not belong to any answer to all open connections. */
+    void writeStrayToAll(byte[] bytes) {
         connections.forEach(connection -> connection.stray(bytes));
     }
 
-    /** From now on a new connection gets the step's stray bytes at once, until {@link #endStrayAtAccept}. */
+    /**
+     * From now on the step's stray bytes are written to each new connection immediately, until
+     * {@link #endStrayAtAccept}.
+     *
+     * @return the number of connections accepted so far
+     */
     synchronized int beginStrayAtAccept() {
         strayAtAccept = true;
         return accepted;
     }
 
-    /** Waits until another connection than the first {@code before} has its stray bytes, but not for long. */
-    synchronized void endStrayAtAccept(int before, long limitMs) {
-        long end = System.nanoTime() + limitMs * 1_000_000;
+    /**
+     * Waits until the stray bytes were written to a further connection, or the time limit passes, and stops writing them.
+     *
+     * @param acceptedBefore the number that {@link #beginStrayAtAccept} returned
+     */
+    synchronized void endStrayAtAccept(int acceptedBefore, long timeoutMs) {
+        long endNanos = System.nanoTime() + timeoutMs * 1_000_000;
         try {
-            for (long left = limitMs; accepted == before && left > 0; left = (end - System.nanoTime()) / 1_000_000) {
-                wait(left);
+            for (long leftMs = timeoutMs; accepted == acceptedBefore && leftMs > 0;
+                    leftMs = (endNanos - System.nanoTime()) / 1_000_000) {
+                wait(leftMs);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -98,7 +115,7 @@
         strayAtAccept = false;
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
@@ -109,17 +126,17 @@
             while (true) {
                 Connection connection = new Connection(server.accept());
                 connections.add(connection);
-                welcome(connection);
-                daemon(connection::serve);
+                register(connection);
+                startDaemon(connection::serve);
             }
         } catch (IOException closed) {
-            // The script is over.
+            // The script has ended.
         }
     }
 
-    private synchronized void welcome(Connection connection) {
+    private synchronized void register(Connection connection) {
         if (strayAtAccept) {
-            connection.stray(step.before().bytes());
+            connection.stray(step.strayBefore().bytes());
         }
         accepted++;
         notifyAll();
@@ -135,8 +152,8 @@
 
     private final class Connection {
         private final Socket socket;
-        /** It has carried bytes that belong to no answer, or an answer that is none. */
-        private volatile boolean spoilt;
+        /** Whether the connection has carried stray bytes or a corrupted answer. */
+        private volatile boolean corrupted;
         private int answers;
 
         Connection(Socket socket) throws IOException {
@@ -145,11 +162,11 @@
         }
 
         void stray(byte[] bytes) {
-            spoilt = true;
+            corrupted = true;
             try {
                 write(bytes);
             } catch (IOException closed) {
-                // The client has left this connection already.
+                // The client has already closed this connection.
             }
         }
 
@@ -160,43 +177,44 @@
         void serve() {
             try (socket) {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
-                for (StubServer.Message m = StubServer.read(in, 0); m != null; m = StubServer.read(in, 0)) {
-                    answer(ids(m), step);
+                for (StubServer.Message call = StubServer.read(in, 0); call != null; call = StubServer.read(in, 0)) {
+                    answer(ids(call), step);
                 }
             } catch (IOException gone) {
-                // The client went away, which is its right.
+                // The client may close the connection at any time.
             } finally {
                 connections.remove(this);
             }
         }
 
-        private void answer(List<String> ids, Step now) throws IOException {
-            boolean before = spoilt;
+        private void answer(List<String> ids, Step current) throws IOException {
+            boolean corruptedBefore = corrupted;
             boolean newConnection = answers++ == 0;
-            boolean clean = !before && now.isCleanAnswer();
-            spoilt |= !now.spoilt().by().clean();
-            AnswerBytes out = new AnswerBytes(now.answer(), now.spoilt(), ids);
-            boolean firstLine = now.spoilt().by() != Spoiling.BAD_STATUS_LINE
-                    && out.bytes.length >= out.firstLineLength;
-            boolean head = firstLine && out.bytes.length >= out.headLength;
-            for (int place = 0; place < ids.size(); place++) {
-                boolean ran = before || !now.tellsWhatRan() || now.answer().ran(place);
+            boolean validAnswer = !corruptedBefore && current.isValidAnswer();
+            corrupted |= !current.corruption().kind().isHarmless();
+            AnswerBytes out = new AnswerBytes(current.answer(), current.corruption(), ids);
+            boolean statusLineWritten = current.corruption().kind() != CorruptionKind.BAD_STATUS_LINE
+                    && out.bytes.length >= out.statusLineLength;
+            boolean headWritten = statusLineWritten && out.bytes.length >= out.headLength;
+            for (int index = 0; index < ids.size(); index++) {
+                boolean ran = corruptedBefore || !current.provesWhatRan() || current.answer().ran(index);
                 if (ran) {
-                    runs.merge(ids.get(place), 1, Integer::sum);
+                    runs.merge(ids.get(index), 1, Integer::sum);
                 }
-                fates.put(ids.get(place), new Fate(ran, clean, before, firstLine, head, newConnection));
+                handlings.put(ids.get(index), new Handling(ran, validAnswer, corruptedBefore, statusLineWritten,
+                        headWritten, newConnection));
             }
-            if (now.spoilt().by() == Spoiling.SPLIT) {
-                writeInPieces(out.bytes, now);
+            if (current.corruption().kind() == CorruptionKind.SPLIT) {
+                writeInPieces(out.bytes, current);
             } else {
                 write(out.bytes);
             }
             end(out.ending);
         }
 
-        private void writeInPieces(byte[] bytes, Step now) throws IOException {
-            int pieces = 2 + now.spoilt().variant() % 4;
-            int first = Math.max(1, bytes.length * now.spoilt().permille() / 1000);
+        private void writeInPieces(byte[] bytes, Step current) throws IOException {
+            int pieces = 2 + current.corruption().variant() % 4;
+            int first = Math.max(1, bytes.length * current.corruption().permille() / 1000);
             int from = 0;
             for (int piece = 0; piece < pieces && from < bytes.length; piece++) {
                 int to = piece == pieces - 1 ? bytes.length : Math.min(bytes.length, from + first);
@@ -216,19 +234,19 @@
         }
     }
 
-    /** The ids of the messages in a call, in its order. */
+    /** The ids of the messages in a call, in the order of the call. */
     private static List<String> ids(StubServer.Message call) {
         if (!call.line().contains(":batch")) {
             return List.of(call.header("X-Call-Id"));
         }
         List<String> ids = new ArrayList<>();
         byte[] body = call.body().getBytes(StandardCharsets.ISO_8859_1);
-        int at = 0;
-        while (at < body.length) {
-            String line = line(body, at);
+        int offset = 0;
+        while (offset < body.length) {
+            String line = line(body, offset);
             String[] parts = line.split(" ");
             ids.add(parts[0]);
-            at += line.length() + 2 + Integer.parseInt(parts[2]) + 2;
+            offset += line.length() + 2 + Integer.parseInt(parts[2]) + 2;
         }
         return ids;
     }
--- a/src/test/java/starlingvalve/net/SurplusAnswerTest.java
+++ b/src/test/java/starlingvalve/net/SurplusAnswerTest.java
@@ -20,17 +20,17 @@
 import starlingvalve.DeliveryPolicy.Outcome;
 import starlingvalve.net.EndpointClient.End;
 
-/** Good answers that bring more than belongs to them: they count, and what came with them answers nothing else. */
+/** Valid answers with surplus bytes: the answer counts, and the surplus is not taken as an answer to another call. */
 class SurplusAnswerTest {
-    private static final double LONG_MS = 20_000;
-    /** Shorter than a kept connection is left quiet. */
-    private static final double HASTY_MS = 5;
-    private static final long END_MS = 30_000;
-    /** A copy comes so long after the answer was read, or as soon as the next request has come. */
-    private static final long MOMENT_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-    /** Played again where the machine stood still for longer than that in between. */
-    private static final long LONGEST_MOMENT_NANOS = TimeUnit.MILLISECONDS.toNanos(15);
-    private static final int MOST_PLAYS = 50;
+    private static final double LONG_TIMEOUT_MS = 20_000;
+    /** Shorter than the quiet period of a kept connection. */
+    private static final double SHORT_TIMEOUT_MS = 5;
+    private static final long END_TIMEOUT_MS = 30_000;
+    /** The copy is written this long after the answer was read, or as soon as the next request has arrived. */
+    private static final long COPY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+    /** A run is repeated if the machine stalled, so that writing the copy took longer than this. */
+    private static final long MAX_COPY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(15);
+    private static final int MAX_RUNS = 50;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -44,17 +44,18 @@
         return List.of(answer, answer + answer, answer.substring(0, answer.length() - 1), "noise", "\r\n", "\0\1\2");
     }
 
+    /** Starts one exchange with these messages and returns their ends. */
     private List<End> ends(StubServer stub, List<String> ids) throws Exception {
         EndpointClient client = new EndpointClient(loop, stub.address());
         client.inLoop(() -> {
-            client.start(ids, LONG_MS);
+            client.start(ids, LONG_TIMEOUT_MS);
             return null;
         });
-        return client.ends(ids.size(), END_MS);
+        return client.ends(ids.size(), END_TIMEOUT_MS);
     }
 
     @Test
-    void anAnswerToSeveralMessagesCountsThoughMoreComesWithIt() throws Exception {
+    void batchAnswerWithSurplusCounts() throws Exception {
         String answer = TestConfig.answer("a accepted\r\nb deferred\r\nc expired\r\n");
         for (String surplus : surplusOf(answer)) {
             try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, answer + surplus))) {
@@ -65,7 +66,7 @@
     }
 
     @Test
-    void aRefusalCountsThoughMoreComesWithIt() throws Exception {
+    void refusalWithSurplusCounts() throws Exception {
         String refusal = "HTTP/1.1 429 x\r\nRetry-After: 1.5\r\nContent-Length: 0\r\n\r\n";
         for (String surplus : surplusOf(refusal)) {
             try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, refusal + surplus))) {
@@ -76,36 +77,39 @@
     }
 
     @Test
-    void anAnswerThatNamesNoneOfItsMessagesIsThatOfAnotherCallAndEndsItsConnection() throws Exception {
+    void answerThatNamesNoMessageOfItsCallProvesNothingAndClosesTheConnection() throws Exception {
         String answer = TestConfig.answer("x accepted\r\ny accepted\r\n");
         try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, answer))) {
             EndpointClient client = new EndpointClient(loop, stub.address());
             for (int connection = 0; connection < 2; connection++) {
                 client.inLoop(() -> {
-                    client.start(List.of("a", "b"), LONG_MS);
+                    client.start(List.of("a", "b"), LONG_TIMEOUT_MS);
                     return null;
                 });
                 assertEquals(List.of(new End("a", Outcome.BROKEN, false, 0), new End("b", Outcome.BROKEN, false, 0)),
-                        client.ends(2, END_MS));
+                        client.ends(2, END_TIMEOUT_MS));
                 assertEquals(connection, stub.requests.get(connection).connection());
             }
         }
     }
 
-    /** A first answer, and its copy a moment later: by then the next request may be on its way. Then refusals. */
+    /**
+     * Writes a first answer and, a few milliseconds later, a copy of it, when the next request may already be on its way.
+     * Answers all later requests with a refusal.
+     */
     private static final class LateCopy implements StubServer.Script {
         private final String answer;
         private final String refusal;
         private final CountDownLatch firstRead = new CountDownLatch(1);
         private boolean copied;
-        private volatile long tookNanos;
+        private volatile long copyDelayNanos;
 
         LateCopy(String answer, String refusal) {
             this.answer = answer;
             this.refusal = refusal;
         }
 
-        /** The other side has just read the first answer. */
+        /** To be called when the other side has just read the first answer. */
         void firstIsRead() {
             firstRead.countDown();
         }
@@ -119,31 +123,33 @@
             copied = true;
             StubServer.write(socket, answer);
             firstRead.await();
-            long begun = System.nanoTime();
-            while (socket.getInputStream().available() == 0 && System.nanoTime() - begun < MOMENT_NANOS) {
+            long startNanos = System.nanoTime();
+            while (socket.getInputStream().available() == 0 && System.nanoTime() - startNanos < COPY_DELAY_NANOS) {
                 Thread.onSpinWait();
             }
             StubServer.write(socket, answer);
-            tookNanos = System.nanoTime() - begun;
+            copyDelayNanos = System.nanoTime() - startNanos;
         }
 
+        /** Whether the copy was written early enough for the run to be meaningful. */
         boolean isValid() {
-            return tookNanos < LONGEST_MOMENT_NANOS;
+            return copyDelayNanos < MAX_COPY_DELAY_NANOS;
         }
     }
 
-    private interface Play {
-        void with(StubServer stub, LateCopy script) throws Exception;
+    private interface TestRun {
+        void run(StubServer stub, LateCopy script) throws Exception;
     }
 
-    private static void untilValid(String answer, String refusal, Play play) throws Exception {
+    /** Repeats a run until one is valid; its assertions must hold. */
+    private static void repeatUntilValid(String answer, String refusal, TestRun run) throws Exception {
         LateCopy script;
-        int plays = 0;
+        int runs = 0;
         do {
-            assertTrue(plays++ < MOST_PLAYS, "the machine stands still too often");
+            assertTrue(runs++ < MAX_RUNS, "the machine stalls too often");
             script = new LateCopy(answer, refusal);
             try (StubServer stub = new StubServer(script)) {
-                play.with(stub, script);
+                run.run(stub, script);
             } catch (AssertionError e) {
                 if (script.isValid()) {
                     throw e;
@@ -153,55 +159,55 @@
     }
 
     @Test
-    void aSecondCopyThatComesAMomentLaterIsNoAnswerToTheNextCall() throws Exception {
+    void lateCopyOfAnAnswerDoesNotAnswerTheNextCall() throws Exception {
         String accepted = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-        untilValid(accepted, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", (stub, script) -> {
+        repeatUntilValid(accepted, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", (stub, script) -> {
             EndpointClient client = new EndpointClient(loop, stub.address());
             for (String id : List.of("first", "second")) {
                 client.inLoop(() -> {
-                    client.start(List.of(id), LONG_MS);
+                    client.start(List.of(id), LONG_TIMEOUT_MS);
                     return null;
                 });
                 Outcome expected = id.equals("first") ? Outcome.DELIVERED : Outcome.FULL;
-                assertEquals(List.of(new End(id, expected, false, 0)), client.ends(1, END_MS));
+                assertEquals(List.of(new End(id, expected, false, 0)), client.ends(1, END_TIMEOUT_MS));
                 script.firstIsRead();
             }
         });
     }
 
     @Test
-    void aCallWhoseTimeIsUpWhileItsConnectionIsQuietTellsNothingOfTheEndpoint() throws Exception {
+    void callThatTimesOutInTheQuietPeriodOfItsConnectionIsNotSent() throws Exception {
         try (StubServer stub = new StubServer(StubServer.status(200, ""))) {
             EndpointClient client = new EndpointClient(loop, stub.address());
             client.inLoop(() -> {
-                client.whenNextEnds(() -> client.start(List.of("hasty"), HASTY_MS));
-                client.start(List.of("first"), LONG_MS);
+                client.afterNextEnd(() -> client.start(List.of("hasty"), SHORT_TIMEOUT_MS));
+                client.start(List.of("first"), LONG_TIMEOUT_MS);
                 return null;
             });
             assertEquals(List.of(new End("first", Outcome.DELIVERED, false, 0),
-                    new End("hasty", Outcome.NOT_SENT, false, 0)), client.ends(2, END_MS));
+                    new End("hasty", Outcome.NOT_SENT, false, 0)), client.ends(2, END_TIMEOUT_MS));
             assertEquals(1, stub.requests.size());
         }
     }
 
     @Test
-    void aSecondCopyThatComesAMomentLaterIsNoAnswerToTheNextNotice() throws Exception {
-        untilValid("HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", (stub, script) -> {
+    void lateCopyOfAnAnswerDoesNotAnswerTheNextNotice() throws Exception {
+        repeatUntilValid("HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", (stub, script) -> {
             AgentConnection agent = new AgentConnection(loop, stub.address());
             CompletableFuture<Integer> second = new CompletableFuture<>();
             loop.execute(() -> ask(agent, new CompletableFuture<>(), () -> {
                 ask(agent, second, () -> { });
                 script.firstIsRead();
             }));
-            assertEquals(503, second.get(END_MS, TimeUnit.MILLISECONDS));
+            assertEquals(503, second.get(END_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         });
     }
 
-    private static void ask(AgentConnection agent, CompletableFuture<Integer> status, Runnable then) {
-        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"), (long) LONG_MS,
+    private static void ask(AgentConnection agent, CompletableFuture<Integer> status, Runnable onAnswer) {
+        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"), (long) LONG_TIMEOUT_MS,
                 answer -> {
-                    status.complete(answer.map(a -> a.status().code()).orElse(0));
-                    then.run();
+                    status.complete(answer.map(response -> response.status().code()).orElse(0));
+                    onAnswer.run();
                 });
     }
 }
--- a/src/test/java/starlingvalve/net/SurplusWriter.java
+++ b/src/test/java/starlingvalve/net/SurplusWriter.java
@@ -8,31 +8,32 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Writes answers, some of which bring more than belongs to them: a second copy or noise, in the same write or a moment
- * later, where nothing else is waiting on the connection.
+ * Writes answers, some of them with surplus bytes: a second copy of the answer or noise. The surplus is part of the same
+ * write, or follows a few milliseconds later if no request has arrived on the connection by then.
  */
 final class SurplusWriter {
     private static final List<String> NOISE = List.of("\r\n", "noise", "HTTP/1.1 200 O", "\0\1\2",
             "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-    private static final int LONGEST_PAUSE_MS = 4;
-    /** What is written later than that is not straight behind the answer: then there is none. */
-    private static final long STRAIGHT_BEHIND_NANOS = TimeUnit.MILLISECONDS.toNanos(8);
+    private static final int MAX_PAUSE_MS = 4;
+    /** Surplus that would be written later than this does not directly follow the answer, and is not written. */
+    private static final long MAX_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(8);
 
     private final Random random;
     private final int percent;
     private final AtomicInteger surplusWritten = new AtomicInteger();
 
-    /** So many of a hundred answers bring more. */
+    /** {@code percent} of the answers get surplus bytes. */
     SurplusWriter(Random random, int percent) {
         this.random = random;
         this.percent = percent;
     }
 
-    /** How many answers have brought more. */
+    /** Number of answers that were written with surplus bytes. */
     int surplusAnswers() {
         return surplusWritten.get();
     }
 
+    /** Writes an answer, perhaps with surplus bytes. */
     void write(Socket socket, String answer) throws IOException {
         if (draw(100) >= percent) {
             StubServer.write(socket, answer);
@@ -44,20 +45,20 @@
             StubServer.write(socket, answer + surplus);
             return;
         }
-        long answeredAt = System.nanoTime();
+        long answerNanos = System.nanoTime();
         StubServer.write(socket, answer);
-        writeLater(socket, surplus, answeredAt);
+        writeLater(socket, surplus, answerNanos);
     }
 
-    private void writeLater(Socket socket, String surplus, long answeredAt) throws IOException {
+    private void writeLater(Socket socket, String surplus, long answerNanos) throws IOException {
         try {
-            TimeUnit.MICROSECONDS.sleep(draw(LONGEST_PAUSE_MS * 1000));
+            TimeUnit.MICROSECONDS.sleep(draw(MAX_PAUSE_MS * 1000));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
         }
-        boolean nothingWaits = socket.getInputStream().available() == 0;
-        if (nothingWaits && System.nanoTime() - answeredAt < STRAIGHT_BEHIND_NANOS) {
+        boolean noRequest = socket.getInputStream().available() == 0;
+        if (noRequest && System.nanoTime() - answerNanos < MAX_DELAY_NANOS) {
             surplusWritten.incrementAndGet();
             StubServer.write(socket, surplus);
         }
