--- a/src/test/java/starlingvalve/net/EndpointAnswerPropertyTest.java
+++ b/src/test/java/starlingvalve/net/EndpointAnswerPropertyTest.java
@@ -36,7 +36,8 @@
 
 /**
  * Whatever bytes an endpoint sends, and at whatever time, each call ends exactly once, with the outcome that the
- * protocol's table gives. A message that must not be repeated runs at most once if the sender repeats only attempts that never ran.
+ * protocol's table gives. A message that must not be repeated runs at most once if the sender repeats only attempts
+ * that never ran.
  */
 class EndpointAnswerPropertyTest {
     private static final int TRIES = 400;
@@ -59,11 +60,11 @@
     @Property(seed = "20261202", tries = TRIES, edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.BOUNDED)
     void eachCallEndsOnceWithTheRightOutcomeAndNoMessageRunsTwice(@ForAll("scripts") List<Step> script)
             throws Exception {
-        assertEquals(List.of(), new Play().violations(script));
+        assertEquals(List.of(), new ScriptRun().violations(script));
     }
 
     /** Runs a script with a sender and an endpoint, and collects descriptions of the violations. */
-    private static final class Play {
+    private static final class ScriptRun {
         private final List<String> violations = new ArrayList<>();
         private final Deque<String> repeats = new ArrayDeque<>();
         private final Map<String, Integer> sends = new HashMap<>();
@@ -76,7 +77,7 @@
                 endpoint = opened;
                 client = new EndpointClient(GROUP.next(), endpoint.address());
                 for (int number = 0; number < script.size(); number++) {
-                    play(number, script.get(number));
+                    execute(number, script.get(number));
                 }
                 client.remainingEnds().forEach(end -> violations.add("an additional end: " + end));
                 for (String id : sends.keySet()) {
@@ -89,12 +90,12 @@
             return violations;
         }
 
-        private void play(int number, Step step) throws Exception {
+        private void execute(int number, Step step) throws Exception {
             List<String> ids = nextMessages(step.size());
             long timeoutMs = timeoutMs(step);
             int writtenBefore = client.writtenMessages();
             int retryAftersBefore = client.retryAfters().size();
-            endpoint.play(step);
+            endpoint.setStep(step);
             start(step, ids, timeoutMs);
             List<EndpointClient.End> ends = client.ends(ids.size(), timeoutMs + MARGIN_MS);
             if (client.writtenMessages() > writtenBefore) {
@@ -165,8 +166,7 @@
             client.start(ids, timeoutMs);
         }
 
-        private void check(int number, Step step, int index, EndpointClient.End end,
-                List<Double> retryAfters) {
+        private void check(int number, Step step, int index, EndpointClient.End end, List<Double> retryAfters) {
             ScriptedEndpoint.Handling handling = endpoint.handling(end.id());
             Answer answer = step.answer();
             String where = "step " + number + ": " + end + " with " + handling + ": ";
@@ -174,7 +174,7 @@
                 violations.add(where + "no answer reported a delivery");
             }
             if (end.neverRan() && handling != null && handling.ran()) {
-                violations.add(where + "it ran");
+                violations.add(where + "it may have run");
             }
             if (end.messageEnded() && !mayReportEnd(answer, index, handling)) {
                 violations.add(where + "no answer reported that it has ended");
--- a/src/test/java/starlingvalve/net/EndpointClient.java
+++ b/src/test/java/starlingvalve/net/EndpointClient.java
@@ -88,7 +88,7 @@
         endpoints.closeIdle(ENDPOINT);
     }
 
-    /** Closes all connections once they are idle. */
+    /** Closes the idle connections, and keeps no connection open after its call from now on. */
     void stop() {
         inLoop(() -> {
             endpoints.keepNone();
--- a/src/test/java/starlingvalve/net/ScriptedEndpoint.java
+++ b/src/test/java/starlingvalve/net/ScriptedEndpoint.java
@@ -58,7 +58,7 @@
     }
 
     /** Sets the step that is executed from now on. */
-    void play(Step newStep) {
+    void setStep(Step newStep) {
         handlings.clear();
         step = newStep;
     }
@@ -68,7 +68,7 @@
         return handlings.get(id);
     }
 
-    /** Waits until these messages have arrived, no connection is left on which they could, or the time limit passes. */
+    /** Waits until these messages have arrived, no connection is left on which they could, or the time-out passes. */
     void awaitArrival(List<String> ids, long timeoutMs) throws InterruptedException {
         long endNanos = System.nanoTime() + timeoutMs * 1_000_000;
         while (!handlings.keySet().containsAll(ids) && !connections.isEmpty() && System.nanoTime() < endNanos) {
@@ -83,7 +83,7 @@
 
     /** Writes bytes that do not belong to any answer to all open connections. */
     void writeStrayToAll(byte[] bytes) {
-        connections.forEach(connection -> connection.stray(bytes));
+        connections.forEach(connection -> connection.writeStray(bytes));
     }
 
     /**
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Waits until the stray bytes were written to a further connection, or the time limit passes, and stops writing them.
+     * Waits until the stray bytes were written to a further connection, or the time-out passes, and stops writing them.
      *
      * @param acceptedBefore the number that {@link #beginStrayAtAccept} returned
      */
@@ -136,7 +136,7 @@
 
     private synchronized void register(Connection connection) {
         if (strayAtAccept) {
-            connection.stray(step.strayBefore().bytes());
+            connection.writeStray(step.strayBefore().bytes());
         }
         accepted++;
         notifyAll();
@@ -161,7 +161,7 @@
             socket.setTcpNoDelay(true);
         }
 
-        void stray(byte[] bytes) {
+        void writeStray(byte[] bytes) {
             corrupted = true;
             try {
                 write(bytes);
@@ -180,7 +180,7 @@
                 for (StubServer.Message call = StubServer.read(in, 0); call != null; call = StubServer.read(in, 0)) {
                     answer(ids(call), step);
                 }
-            } catch (IOException gone) {
+            } catch (IOException closed) {
                 // The client may close the connection at any time.
             } finally {
                 connections.remove(this);
--- a/src/test/java/starlingvalve/net/SurplusAnswerTest.java
+++ b/src/test/java/starlingvalve/net/SurplusAnswerTest.java
@@ -28,7 +28,7 @@
     private static final long END_TIMEOUT_MS = 30_000;
     /** The copy is written this long after the answer was read, or as soon as the next request has arrived. */
     private static final long COPY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-    /** A run is repeated if the machine stalled, so that writing the copy took longer than this. */
+    /** A run is repeated if the machine stalled so that the copy was written later than this. */
     private static final long MAX_COPY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(15);
     private static final int MAX_RUNS = 50;
 
@@ -60,7 +60,8 @@
         for (String surplus : surplusOf(answer)) {
             try (StubServer stub = new StubServer((request, socket) -> StubServer.write(socket, answer + surplus))) {
                 assertEquals(List.of(new End("a", Outcome.DELIVERED, false, 0), new End("b", Outcome.FULL, false, 0),
-                        new End("c", Outcome.NOT_SENT, true, 0)), ends(stub, List.of("a", "b", "c")), "with " + surplus);
+                        new End("c", Outcome.NOT_SENT, true, 0)), ends(stub, List.of("a", "b", "c")),
+                        "with " + surplus);
             }
         }
     }
@@ -76,6 +77,7 @@
         }
     }
 
+    /** Such an answer belongs to another call. */
     @Test
     void answerThatNamesNoMessageOfItsCallProvesNothingAndClosesTheConnection() throws Exception {
         String answer = TestConfig.answer("x accepted\r\ny accepted\r\n");
@@ -94,8 +96,8 @@
     }
 
     /**
-     * Writes a first answer and, a few milliseconds later, a copy of it, when the next request may already be on its way.
-     * Answers all later requests with a refusal.
+     * Writes a first answer and, a few milliseconds later, a copy of it, when the next request may already be on its
+     * way. Answers all later requests with a refusal.
      */
     private static final class LateCopy implements StubServer.Script {
         private final String answer;
@@ -175,6 +177,7 @@
         });
     }
 
+    /** The outcome of such a call must not say anything about the endpoint. */
     @Test
     void callThatTimesOutInTheQuietPeriodOfItsConnectionIsNotSent() throws Exception {
         try (StubServer stub = new StubServer(StubServer.status(200, ""))) {
--- a/src/test/java/starlingvalve/net/SurplusWriter.java
+++ b/src/test/java/starlingvalve/net/SurplusWriter.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Writes answers, some of them with surplus bytes: a second copy of the answer or noise. The surplus is part of the same
- * write, or follows a few milliseconds later if no request has arrived on the connection by then.
+ * Writes answers, some of them with surplus bytes: a second copy of the answer or noise. The surplus is part of the
+ * same write, or follows a few milliseconds later if no request has arrived on the connection by then.
  */
 final class SurplusWriter {
     private static final List<String> NOISE = List.of("\r\n", "noise", "HTTP/1.1 200 O", "\0\1\2",
