--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -391,7 +391,7 @@
             this.held = held;
             this.attempt = attempt;
             this.timeoutMs = timeoutMs;
-            this.timer = AfterPendingReads.in(loop, (long) Math.ceil(timeoutMs * 1000), TimeUnit.MICROSECONDS,
+            this.timer = AfterPendingReads.schedule(loop, (long) Math.ceil(timeoutMs * 1000), TimeUnit.MICROSECONDS,
                     this::timedOut);
         }
 
@@ -419,7 +419,7 @@
             long now = System.nanoTime();
             boolean mayExtend = now - startedNanos < timeoutMs * 1e6 + MAX_READ_EXTENSION_NANOS;
             if (!abandoned && mayExtend && now - exchange.lastReadNanos < MAX_READ_GAP_NANOS) {
-                AfterPendingReads.next(loop, this::timedOut);
+                AfterPendingReads.execute(loop, this::timedOut);
             } else {
                 abandon(exchange.isStarted() ? Interruption.TIMED_OUT : Interruption.WITHHELD);
             }
@@ -448,8 +448,8 @@
          * before: a message that has ended must not be sent again.
          */
         private void answered(AttemptOutcomes.Result result, double retryAfterMs) {
-            if (result.endsMessage() && !held.endRead) {
-                held.endRead = true;
+            if (result.endsMessage() && !held.endReceived) {
+                held.endReceived = true;
                 if (outcomeDecided) {
                     boolean delivered = result.outcome() == Outcome.DELIVERED;
                     loop.execute(() -> callbacks.messageEndedAfterCall(this, delivered));
@@ -468,7 +468,7 @@
             // Deferred, as the outcome may be decided while the delivery policy is being called.
             boolean exchangeOpen = endedWhileOpen;
             double reportedRetryAfterMs = result.outcome() == Outcome.DELIVERED ? 0 : retryAfterMs;
-            loop.execute(() -> callbacks.ended(this, result.outcome(), result.over(), reportedRetryAfterMs,
+            loop.execute(() -> callbacks.ended(this, result.outcome(), result.messageEnded(), reportedRetryAfterMs,
                     exchangeOpen));
         }
     }
@@ -590,7 +590,7 @@
 
         /** Writes the request, without the calls that may not be sent any more. */
         private void write(Connection target) {
-            abandonUnless(call -> !call.held.endRead && call.mayBegin());
+            abandonUnless(call -> !call.held.endReceived && call.mayBegin());
             if (dropAbandonedCalls()) {
                 target.keepIdle();
             } else if (inputBarrier.isRecent()) {
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -223,7 +223,7 @@
 
     /** Creates the components and starts discovery; runs on the event loop. */
     private void openComponents() {
-        int openAtStart = DescriptorBudget.openNow();
+        int openAtStart = DescriptorBudget.openDescriptors();
         DescriptorBudget budget = DescriptorBudget.divide(config.sockets(), openAtStart, config.settings().slots());
         Log.line(budget + "; " + openAtStart + " were open at the start");
         endpoints = new Endpoints(loop, config.dialMs(), config.settings().keepAliveMs(),
@@ -279,13 +279,13 @@
     }
 
     /** Returns how messages of a class may be repeated, if the configuration still has that class. */
-    private Optional<MessageRules.Repeats> repeats(String messageClass) {
+    private Optional<MessageRules.RepeatPolicy> repeats(String messageClass) {
         int classNumber = config.classes().indexOf(messageClass);
         if (classNumber < 0) {
             return Optional.empty();
         }
         DeliveryPolicy.MessageClass settings = config.settings().classes().get(classNumber);
-        return Optional.of(new MessageRules.Repeats(settings.effect(), settings.windowMs()));
+        return Optional.of(new MessageRules.RepeatPolicy(settings.effect(), settings.windowMs()));
     }
 
     /** Returns the journal records that the predecessor could not write to disk. */
@@ -354,11 +354,11 @@
         Predicate<AcceptedMessage> acknowledged = acknowledgedByClients(state, inSnapshot);
         for (AcceptedMessage accepted : journal.held()) {
             predecessorCalls.held(accepted);
-            if (accepted.over) {
+            if (accepted.ended) {
                 notices.owe(accepted);
             } else {
                 addOpen(accepted);
-                accepted.told = acknowledged.test(accepted);
+                accepted.acceptanceAcknowledged = acknowledged.test(accepted);
             }
         }
         isolate(() -> policy.remember(openTurn(), turnTimeMs - ageMs, snapshot));
@@ -391,7 +391,7 @@
                 "calls", predecessorCalls.size(), "notices", notices.owed());
         long steadyNowMs = journal.clock().nowMs();
         for (AcceptedMessage accepted : openMessages.all()) {
-            if (accepted.told && !inPolicy.contains(accepted.number)) {
+            if (accepted.acceptanceAcknowledged && !inPolicy.contains(accepted.number)) {
                 events.add("takeover-not-in-module", "id", accepted.id, "class", accepted.messageClass, "attempts",
                         accepted.attempts.size(), "left_ms", accepted.deadlineMs - steadyNowMs);
                 recover(accepted, steadyNowMs);
@@ -437,7 +437,7 @@
     private void replayJournal() {
         long steadyNowMs = journal.clock().nowMs();
         for (AcceptedMessage accepted : journal.held()) {
-            if (accepted.over) {
+            if (accepted.ended) {
                 replayNotice(accepted, steadyNowMs);
             } else {
                 recover(accepted, steadyNowMs);
@@ -461,12 +461,12 @@
      */
     private void recover(AcceptedMessage accepted, long steadyNowMs) {
         addOpen(accepted);
-        accepted.told = true;
+        accepted.acceptanceAcknowledged = true;
         int messageClass = config.classes().indexOf(accepted.messageClass);
         if (messageClass < 0) {
             Log.line("class " + accepted.messageClass + " is no longer configured; its message is given up");
             giveUp(accepted, 0);
-        } else if (!FaultIsolation.run(() -> recover(accepted, messageClass, steadyNowMs)) && !accepted.over) {
+        } else if (!FaultIsolation.run(() -> recover(accepted, messageClass, steadyNowMs)) && !accepted.ended) {
             giveUp(accepted, 0);
         }
     }
@@ -509,14 +509,14 @@
     private void messageOverdue(AcceptedMessage accepted) {
         openTurn();
         loop.execute(() -> {
-            if (accepted.over) {
+            if (accepted.ended) {
                 return;
             }
             if (!ownsMessages()) {
                 messageOverdueDuringHandover(accepted);
                 return;
             }
-            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told", accepted.told, "attempts",
+            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told", accepted.acceptanceAcknowledged, "attempts",
                     accepted.attempts.size(), "module", policy.open().contains(accepted.number));
             giveUp(accepted, FAULT_RETRY_AFTER_MS);
         });
@@ -530,7 +530,7 @@
         overdueDuringHandover.add(accepted);
         events.add("overdue-in-handover", "id", accepted.id, "class", accepted.messageClass, "attempts",
                 accepted.attempts.size());
-        accepted.owed = Optional.of(finalNotice(accepted, FAULT_RETRY_AFTER_MS));
+        accepted.pendingNotice = Optional.of(finalNotice(accepted, FAULT_RETRY_AFTER_MS));
         notices.tellOnce(accepted);
     }
 
@@ -555,7 +555,7 @@
     private DeliveryPolicy.Message policyMessage(AcceptedMessage accepted, int messageClass, double leftMs) {
         double timeLeftMs = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
         return new DeliveryPolicy.Message(accepted.number, messageClass,
-                Math.max(0, config.tenants().indexOf(accepted.tenant)), accepted.thread, timeLeftMs,
+                Math.max(0, config.tenants().indexOf(accepted.tenant)), accepted.orderingKey, timeLeftMs,
                 accepted.destination);
     }
 
@@ -663,7 +663,7 @@
     @Override
     public void wakeAt(double time) {
         long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
-        AfterPendingReads.in(loop, Math.max(0, nanos), TimeUnit.NANOSECONDS,
+        AfterPendingReads.schedule(loop, Math.max(0, nanos), TimeUnit.NANOSECONDS,
                 () -> isolate(() -> policy.wake(openTurn())));
     }
 
@@ -814,17 +814,17 @@
             confirmDelivery(accepted);
         } else if (outcome == DeliveryPolicy.Outcome.DELIVERED) {
             endByAnswer(accepted, FinishedMessage.Result.DELIVERED);
-        } else if (!accepted.over && !outcome.mayHaveRun()) {
+        } else if (!accepted.ended && !outcome.mayHaveRun()) {
             journal.neverRan(accepted, attempt);
         }
-        boolean finished = accepted.over;
+        boolean finished = accepted.ended;
         isolate(() -> policy.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(accepted.number, attempt, outcome,
                 tookMs, finished, waitMs, callOpen)));
     }
 
     /** Ends a message by an endpoint's answer: no notice is due for it, and nothing may be sent for it any more. */
     private void endByAnswer(AcceptedMessage accepted, FinishedMessage.Result result) {
-        if (!accepted.over) {
+        if (!accepted.ended) {
             markEnded(accepted, result == FinishedMessage.Result.DELIVERED ? Stats.End.SERVED : Stats.End.FAILED);
             journal.ended(accepted, result);
         }
@@ -835,7 +835,7 @@
      * every such answer, so a notice is sent too; it does no harm where the platform counts the answer.
      */
     private void confirmDelivery(AcceptedMessage accepted) {
-        if (!accepted.over) {
+        if (!accepted.ended) {
             markEnded(accepted, Stats.End.SERVED);
             events.add("confirming", "id", accepted.id, "attempts", accepted.attempts.size());
             journal.confirming(accepted);
@@ -848,7 +848,7 @@
     private void endByLateAnswer(AcceptedMessage accepted, boolean delivered) {
         if (delivered) {
             confirmDelivery(accepted);
-        } else if (!accepted.over) {
+        } else if (!accepted.ended) {
             endByAnswer(accepted, FinishedMessage.Result.FAILED);
             isolate(() -> policy.withdrawn(openTurn(), accepted.number));
         }
@@ -861,7 +861,7 @@
     }
 
     private void markEnded(AcceptedMessage accepted) {
-        accepted.over = true;
+        accepted.ended = true;
         unattempted.ended(accepted.number);
         openMessages.remove(accepted);
         watchdog.forget(accepted);
@@ -870,7 +870,7 @@
     /** Handles the platform's answer to a notice: only now the message needs nothing more. */
     private void noticeAcknowledged(AcceptedMessage accepted) {
         events.add("notice-heard", "id", accepted.id);
-        rules.heard(accepted);
+        rules.endAcknowledged(accepted);
         journal.ended(accepted);
         isolate(() -> policy.heard(openTurn(), accepted.number));
     }
@@ -1037,11 +1037,11 @@
      * still be acknowledged.
      */
     private SubmissionServer.Verdict acceptance(AcceptedMessage accepted) {
-        accepted.answers();
+        accepted.addPendingAnswer();
         return SubmissionServer.Verdict.taken(written -> {
-            AcceptedMessage.Acknowledgement acknowledgement = accepted.answered(written);
-            if (acknowledgement != AcceptedMessage.Acknowledgement.OPEN) {
-                submissionAnswered(accepted, acknowledgement == AcceptedMessage.Acknowledgement.HEARD);
+            AcceptedMessage.Acknowledgement acknowledgement = accepted.answerCompleted(written);
+            if (acknowledgement != AcceptedMessage.Acknowledgement.PENDING) {
+                submissionAnswered(accepted, acknowledgement == AcceptedMessage.Acknowledgement.ACKNOWLEDGED);
             }
         });
     }
@@ -1054,10 +1054,10 @@
                     () -> submissionAnswered(accepted, acknowledged));
             return;
         }
-        if (accepted.told || accepted.over) {
+        if (accepted.acceptanceAcknowledged || accepted.ended) {
             return;
         }
-        accepted.told = acknowledged;
+        accepted.acceptanceAcknowledged = acknowledged;
         if (!acknowledged) {
             // A client that never learned of the acceptance expects no delivery, and will submit the message again.
             events.add("taken-unheard", "id", accepted.id);
@@ -1197,7 +1197,7 @@
                 ArrayNode endpointIds = state.putArray("endpoints");
                 registry.ids().forEach(endpointIds::add);
                 ArrayNode unacknowledged = state.putArray("unheard");
-                openMessages.all().stream().filter(accepted -> !accepted.told)
+                openMessages.all().stream().filter(accepted -> !accepted.acceptanceAcknowledged)
                         .forEach(accepted -> unacknowledged.add(accepted.number));
                 state.set("list", discovery.list());
                 state.set("memory", HandoverConnection.JSON.valueToTree(policy.memory(openTurn())));
@@ -1461,7 +1461,7 @@
             unansweredSubmissions.clear();
             unanswered.forEach(verdict -> isolate(() -> verdict.answered().accept(true)));
             for (AcceptedMessage accepted : predecessorCalls.allHeld()) {
-                if (!accepted.over) {
+                if (!accepted.ended) {
                     isolate(() -> Sender.this.submissionAnswered(accepted, true));
                 }
             }
@@ -1513,7 +1513,7 @@
             finishShutdown();
         } else if (System.nanoTime() - startedNanos >= TimeUnit.MILLISECONDS.toNanos(shutdownLimitMs)) {
             // Answers that have arrived by now are read first, however late this check runs.
-            AfterPendingReads.next(loop, this::finishShutdown);
+            AfterPendingReads.execute(loop, this::finishShutdown);
         } else {
             loop.schedule(() -> awaitIdle(startedNanos), SHUTDOWN_POLL_MS, TimeUnit.MILLISECONDS);
         }
