--- a/src/main/java/starlingvalve/DeliveryPolicy.java
+++ b/src/main/java/starlingvalve/DeliveryPolicy.java
@@ -34,27 +34,27 @@
 
     /**
      * Asked before a message is taken: if it is not to be, after how long its client may come again. One that is
-     * turned away is not known here; {@link #message} follows for one that is not.
+     * turned away is not known here; {@link #messageAccepted} follows for one that is not.
      */
-    OptionalDouble turnsAway(double now, Message message);
+    OptionalDouble admissionRetryAfter(double now, Message message);
 
     /**
      * The sender has taken a message; exactly one of delivered, refused or failed ends it before its time is
      * up.
      */
-    void message(double now, Message message);
+    void messageAccepted(double now, Message message);
 
     /**
      * A message that an earlier life of this sender took comes back from its journal, with the attempts made
      * then, in their order; further ones are numbered on from these. One that was out when that life ended
      * may have run; none of them holds a slot or gets an end any more. Messages come in the order taken.
      */
-    void resumed(double now, Message message, List<EarlierAttempt> attempts);
+    void messageRecovered(double now, Message message, List<EarlierAttempt> attempts);
 
     /**
      * The sender will stop at this time: no call starts any more that can't be expected to end before it.
      */
-    void closing(double now, double end);
+    void shutdownScheduled(double now, double end);
 
     /**
      * An attempt has ended; each {@link Actions#send} gets exactly one. A delivered end finishes the message
@@ -63,66 +63,66 @@
     void attemptEnded(double now, AttemptEnd end);
 
     /** The answer of an attempt tells a wait, which runs from now on; told with its head and once it is whole. */
-    void waitTold(double now, long endpoint, double waitMs);
+    void retryAfterReceived(double now, long endpoint, double retryAfterMs);
 
     /**
      * Whether an attempt may go out now, asked just before its first byte: a wait told since its decision, a drain, or
      * the end of the time in which it may be repeated, may stand against it. One that may not ends as not sent.
      */
-    boolean mayStart(double now, long message, int attempt);
+    boolean mayBeginAttempt(double now, long message, int attempt);
 
     /**
      * The call of an attempt that had ended while it was open is over now: nothing of it can still run there.
      */
-    void callClosed(double now, long message);
+    void callEnded(double now, long message);
 
     /**
      * A message that an earlier life of this sender took and answered by refusing or failing it, which nobody
-     * has heard yet. It comes in the order taken, as with {@link #resumed}; {@link #heard} follows.
+     * has heard yet. It comes in the order taken, as with {@link #messageRecovered}; {@link #endAcknowledged} follows.
      */
-    void unheard(double now, Message message);
+    void endedUnacknowledged(double now, Message message);
 
     /** The final answer of a message has been heard, so it is over; of what is not known, nothing hangs on it. */
-    void heard(double now, long message);
+    void endAcknowledged(double now, long message);
 
     /**
      * Operators leave an endpoint out, whatever the list says, or put it back: it comes back cold. The list need
      * not have named it yet; saying the same again changes nothing.
      */
-    void maintenance(double now, long endpoint, boolean out);
+    void setMaintenance(double now, long endpoint, boolean out);
 
     /** Whether an endpoint is avoided now: left out by operators, or taken for down. */
-    boolean avoids(long endpoint);
+    boolean isExcluded(long endpoint);
 
     /** The messages that it has been told of and has not ended. */
-    Set<Long> open();
+    Set<Long> openMessages();
 
     /**
      * Another process is about to take over, and nobody decides anything for so long, as far as can be expected. What waits
      * and would run out of time meanwhile gets its final answer now.
      */
-    void handingOver(double now, double pauseMs);
+    void handoverStarting(double now, double pauseMs);
 
     /** All that this instance knows and a journal does not hold, for the process that takes over from this one. */
-    Snapshot memory(double now);
+    Snapshot snapshot(double now);
 
     /**
      * Goes on where another instance was at the given time, which is not after now; comes first, once the list
      * and what operators leave out are told. Attempts that were out hold their slots, and get their ends.
      */
-    void remember(double now, double takenAt, Snapshot memory);
+    void restore(double now, double takenAt, Snapshot snapshot);
 
     /**
      * Nobody waits for this message any more; no answer is owed. Its client has left, or an answer that came after the
      * end of its attempt tells that it is over.
      */
-    void withdrawn(double now, long message);
+    void messageWithdrawn(double now, long message);
 
     /**
      * An answer tells that this message is delivered, and a notice is on its way that confirms its end: nothing is sent
-     * for it any more, and its key waits until {@link #heard}. If its attempt is out, the end of that follows.
+     * for it any more, and its key waits until {@link #endAcknowledged}. If its attempt is out, the end of that follows.
      */
-    void confirming(double now, long message);
+    void endConfirmationPending(double now, long message);
 
     /** A wake asked for by {@link Actions#wakeAt} has come; early and stale ones do no harm. */
     void wake(double now);
@@ -136,7 +136,7 @@
          * Whether calls may go out now: not while the list of endpoints may be out of date. Where they may not, a turn
          * follows once they may. Asked before a turn's first {@link #send}.
          */
-        default boolean mayCall() {
+        default boolean mayStartCalls() {
             return true;
         }
 
@@ -154,9 +154,9 @@
 
         /**
          * Final: handed back, and trying again is harmless; the client should stay away for the given time.
-         * Tells whether that is heard, and the message over, at once; else {@link DeliveryPolicy#heard} follows.
+         * Tells whether that is heard, and the message over, at once; else {@link DeliveryPolicy#endAcknowledged} follows.
          */
-        boolean refuse(long message, double waitMs);
+        boolean refuse(long message, double retryAfterMs);
 
         /** Final: given up, with no promise about its effect. Heard as with {@link #refuse}. */
         boolean fail(long message);
@@ -280,31 +280,31 @@
     }
 
     /**
-     * The end of one attempt. {@code finished} tells that the message needs no further answer; {@code waitMs}
-     * is the wait that a full destination told, or 0. {@code open} tells that its call is still out for other
-     * messages: {@link DeliveryPolicy#callClosed} follows.
+     * The end of one attempt. {@code messageEnded} tells that the message needs no further answer; {@code retryAfterMs}
+     * is the wait that a full destination told, or 0. {@code callInFlight} tells that its call is still out for other
+     * messages: {@link DeliveryPolicy#callEnded} follows.
      */
-    record AttemptEnd(long message, int attempt, Outcome outcome, double tookMs, boolean finished,
-            double waitMs, boolean open) {
+    record AttemptEnd(long message, int attempt, Outcome outcome, double tookMs, boolean messageEnded,
+            double retryAfterMs, boolean callInFlight) {
     }
 
     /** What worth falls to after the aim: evenly to the last, or by half with each further aim. */
     enum Decay {
         /** Evenly, down to the late worth at the deadline. */
-        LINE,
+        LINEAR,
         /** By half with each further aim, the late worth at least. */
-        HALVES
+        HALVING
     }
 
     /**
      * A class of message; times in milliseconds. {@code sameZone}: repeats are dropped within one zone only.
      */
-    record MessageClass(double aimMs, double deadlineMs, double worth, double lateWorth, Effect effect,
-                        boolean sameZone, double windowMs, boolean inOrder) {
+    record MessageClass(double latencyTargetMs, double deadlineMs, double worth, double lateWorth, Effect effect,
+                        boolean sameZone, double dedupWindowMs, boolean inOrder) {
         /** What a message is worth that is delivered so long after its aim, and before its deadline. */
         double worthWhenLate(double lateMs, Decay decay) {
-            double share = decay == Decay.HALVES ? Math.max(lateWorth, Math.pow(0.5, lateMs / aimMs))
-                    : 1 - (1 - lateWorth) * lateMs / Math.max(1, deadlineMs - aimMs);
+            double share = decay == Decay.HALVING ? Math.max(lateWorth, Math.pow(0.5, lateMs / latencyTargetMs))
+                    : 1 - (1 - lateWorth) * lateMs / Math.max(1, deadlineMs - latencyTargetMs);
             return worth * share;
         }
     }
@@ -328,8 +328,8 @@
      * {@code keepAliveMs}.
      */
     record Settings(List<MessageClass> classes, List<Kind> kinds, boolean ratesListed, Decay decay,
-                    List<Double> zoneFees, int senders, int slots, int maxAttempts, boolean copies,
-                    boolean cancels, double keyRestMs, double keepAliveMs, ColdStart coldStart) {
+                    List<Double> zoneFees, int senders, int slots, int maxAttempts, boolean hedging,
+                    boolean cancels, double keyQuarantineMs, double keepAliveMs, ColdStart coldStart) {
         /** Checks what no deployment can mean. */
         public Settings {
             if (classes.isEmpty() || kinds.isEmpty()) {
--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -158,7 +158,7 @@
         this.copies = throttle(COPY_BASE, COPY_SHARE);
         this.retries = throttle(RETRY_BASE, RETRY_SHARE);
         this.random = new Random(seed);
-        this.keys = new KeyOrder(settings.keyRestMs(), () -> clock, timers);
+        this.keys = new KeyOrder(settings.keyQuarantineMs(), () -> clock, timers);
     }
 
     private Throttle throttle(double base, double share) {
@@ -191,13 +191,13 @@
     }
 
     @Override
-    public Set<Long> open() {
+    public Set<Long> openMessages() {
         return deliveries.values().stream().filter(d -> !d.ended).map(d -> d.message.id())
                 .collect(Collectors.toSet());
     }
 
     @Override
-    public void handingOver(double now, double pauseMs) {
+    public void handoverStarting(double now, double pauseMs) {
         tick(now);
         for (Delivery d : List.copyOf(queue)) {
             if (d.deadline - clock <= Math.min(pauseMs, HANDOVER_SHARE * d.type.deadlineMs())) {
@@ -207,26 +207,26 @@
     }
 
     @Override
-    public Snapshot memory(double now) {
+    public Snapshot snapshot(double now) {
         tick(now);
         Map<Call, Long> calls = new LinkedHashMap<>();
-        return new Snapshot(targets.values().stream().map(Target::memory).toList(),
-                deliveries.values().stream().map(d -> d.memory(calls)).toList(), keys.rests(),
+        return new Snapshot(targets.values().stream().map(Target::snapshot).toList(),
+                deliveries.values().stream().map(d -> d.snapshot(calls)).toList(), keys.rests(),
                 firstSends.count(), copies.count(), retries.count());
     }
 
     @Override
-    public void remember(double now, double takenAt, Snapshot memory) {
+    public void restore(double now, double takenAt, Snapshot snapshot) {
         tick(now);
-        memory.endpoints().forEach(e -> target(e.entry()).remember(e, takenAt));
-        firstSends.restore(memory.firstSends(), clock);
-        copies.restore(memory.copies(), clock);
-        retries.restore(memory.retries(), clock);
+        snapshot.endpoints().forEach(e -> target(e.entry()).restore(e, takenAt));
+        firstSends.restore(snapshot.firstSends(), clock);
+        copies.restore(snapshot.copies(), clock);
+        retries.restore(snapshot.retries(), clock);
         Map<Long, Call> calls = new LinkedHashMap<>();
-        memory.keyRests().forEach((key, restIn) -> keys.remember(key, takenAt + restIn));
+        snapshot.keyRests().forEach((key, restIn) -> keys.restore(key, takenAt + restIn));
         FaultCollector faults = new FaultCollector();
-        for (MessageSnapshot m : memory.messages()) {
-            if (!faults.collect(() -> remember(m, takenAt, calls))) {
+        for (MessageSnapshot m : snapshot.messages()) {
+            if (!faults.collect(() -> restore(m, takenAt, calls))) {
                 Optional.ofNullable(deliveries.remove(m.message().id())).ifPresent(this::discard);
             }
         }
@@ -244,7 +244,7 @@
     }
 
     /** A message comes back as it stood: a wave that is out runs on, and what waits waits as before. */
-    private void remember(MessageSnapshot m, double takenAt, Map<Long, Call> calls) {
+    private void restore(MessageSnapshot m, double takenAt, Map<Long, Call> calls) {
         Delivery d = new Delivery(m.message(), takenAt);
         deliveries.put(m.message().id(), d);
         d.notBefore = takenAt + m.notBeforeIn();
@@ -282,7 +282,7 @@
     }
 
     @Override
-    public void maintenance(double now, long endpoint, boolean out) {
+    public void setMaintenance(double now, long endpoint, boolean out) {
         tick(now);
         boolean changed = out ? leftOut.add(endpoint) : leftOut.remove(endpoint);
         Target target = targets.get(endpoint);
@@ -292,20 +292,20 @@
     }
 
     @Override
-    public boolean avoids(long endpoint) {
+    public boolean isExcluded(long endpoint) {
         Target target = targets.get(endpoint);
         return leftOut.contains(endpoint) || target != null && target.state == State.DOWN;
     }
 
     @Override
-    public void message(double now, Message message) {
+    public void messageAccepted(double now, Message message) {
         tick(now);
         take(message).destination.demand.count();
     }
 
     /** What is taken is kept as long as it can be; here its client may find room at another sender. */
     @Override
-    public OptionalDouble turnsAway(double now, Message message) {
+    public OptionalDouble admissionRetryAfter(double now, Message message) {
         tick(now);
         Delivery d = new Delivery(message, clock);
         if (clock < d.deadline - ANSWER_MARGIN_MS && !d.destination.hasNoTimeFor(d)) {
@@ -317,7 +317,7 @@
 
     /** Demand is not counted: what comes back at once was asked for over a time that nobody knows. */
     @Override
-    public void resumed(double now, Message message, List<EarlierAttempt> attempts) {
+    public void messageRecovered(double now, Message message, List<EarlierAttempt> attempts) {
         tick(now);
         Delivery d = take(message);
         for (EarlierAttempt earlier : attempts) {
@@ -328,12 +328,12 @@
         }
         giveUpInTime(d);
         if (!d.ended) {
-            d.destination.resumed(d);
+            d.destination.messageRecovered(d);
         }
     }
 
     @Override
-    public void closing(double now, double end) {
+    public void shutdownScheduled(double now, double end) {
         tick(now);
         closesAt = end;
     }
@@ -366,12 +366,12 @@
         d.refused = end.outcome().isRefusal();
         d.out--;
         attempt.call.ifPresent(call -> call.itemEnded(end));
-        if (end.open()) {
+        if (end.callInFlight()) {
             d.openCalls++;
         } else {
             keys.attemptEnded(d, end.outcome());
         }
-        if (end.finished()) {
+        if (end.messageEnded()) {
             close(d);
         }
         if (d.ended) {
@@ -382,13 +382,13 @@
     }
 
     @Override
-    public void waitTold(double now, long endpoint, double waitMs) {
+    public void retryAfterReceived(double now, long endpoint, double retryAfterMs) {
         tick(now);
-        Optional.ofNullable(targets.get(endpoint)).ifPresent(target -> target.limit.told(waitMs));
+        Optional.ofNullable(targets.get(endpoint)).ifPresent(target -> target.limit.told(retryAfterMs));
     }
 
     @Override
-    public boolean mayStart(double now, long message, int attempt) {
+    public boolean mayBeginAttempt(double now, long message, int attempt) {
         tick(now);
         Delivery d = deliveries.get(message);
         return d != null && !d.ended && d.attempts.get(attempt).target.filter(t -> t.takes()
@@ -397,7 +397,7 @@
 
     /** Until now the attempt could still run, so its key had to wait. */
     @Override
-    public void callClosed(double now, long message) {
+    public void callEnded(double now, long message) {
         tick(now);
         Delivery d = deliveries.get(message);
         if (d == null || d.openCalls == 0) {
@@ -411,7 +411,7 @@
     }
 
     @Override
-    public void unheard(double now, Message message) {
+    public void endedUnacknowledged(double now, Message message) {
         tick(now);
         Delivery d = new Delivery(message, clock);
         d.ended = true;
@@ -421,7 +421,7 @@
     }
 
     @Override
-    public void heard(double now, long message) {
+    public void endAcknowledged(double now, long message) {
         tick(now);
         Optional.ofNullable(deliveries.get(message)).filter(d -> d.unheard).ifPresent(d -> {
             d.unheard = false;
@@ -431,13 +431,13 @@
     }
 
     @Override
-    public void withdrawn(double now, long message) {
+    public void messageWithdrawn(double now, long message) {
         tick(now);
         Optional.ofNullable(deliveries.get(message)).ifPresent(this::close);
     }
 
     @Override
-    public void confirming(double now, long message) {
+    public void endConfirmationPending(double now, long message) {
         tick(now);
         Optional.ofNullable(deliveries.get(message)).filter(d -> !d.ended).ifPresent(d -> {
             d.unheard = true;
@@ -492,7 +492,7 @@
                 ranked.add(d);
             }
         }
-        if (ranked.isEmpty() || !actions.mayCall()) {
+        if (ranked.isEmpty() || !actions.mayStartCalls()) {
             return;
         }
         ranked.sort(Comparator.comparingDouble((Delivery d) -> -d.rank).thenComparingDouble(d -> d.aimAt));
@@ -543,11 +543,11 @@
             if (earlier == made || !earlier.out && !earlier.mayHaveRun) {
                 continue;
             }
-            if (earlier.out && !settings.copies() || d.type.effect() == Effect.UNSAFE) {
+            if (earlier.out && !settings.hedging() || d.type.effect() == Effect.UNSAFE) {
                 return false;
             }
             if (d.type.effect() == Effect.KEYED
-                    && (clock > earlier.sentAt + d.type.windowMs() - WINDOW_MARGIN_MS
+                    && (clock > earlier.sentAt + d.type.dedupWindowMs() - WINDOW_MARGIN_MS
                     || d.type.sameZone() && target != null && earlier.target
                             .filter(t -> t.entry.zone() == target.entry.zone()).isEmpty())) {
                 return false;
@@ -576,19 +576,19 @@
     }
 
     private void watch(Delivery d, Attempt attempt, Call call, boolean copy) {
-        double offset = d.type.aimMs() * COPY_OFFSET;
+        double offset = d.type.latencyTargetMs() * COPY_OFFSET;
         timers.add(attempt.sentAt + offset, () -> offsetPassed(d, attempt, copy));
         timers.add(attempt.sentAt + Math.max(offset, call.target.patience()), call::overdue);
     }
 
     /** The scheduled offset after a send: a copy may join the wave. */
     private void offsetPassed(Delivery d, Attempt attempt, boolean copy) {
-        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.copies() && !copy;
+        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.hedging() && !copy;
         if (!races || d.ended || slotsUsed >= settings.slots() || !copies.allows()) {
             return;
         }
         Optional<Target> target = choose(d, true);
-        if (target.isPresent() && actions.mayCall()) {
+        if (target.isPresent() && actions.mayStartCalls()) {
             send(d, target.get(), true);
         } else if (target.isPresent()) {
             timers.add(clock + COPY_RECHECK_MS, () -> offsetPassed(d, attempt, copy));
@@ -617,7 +617,7 @@
             finish(d);
         } else if (d.type.effect() == Effect.KEYED) {
             d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
-                    timers.add(first + d.type.windowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS,
+                    timers.add(first + d.type.dedupWindowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS,
                             () -> giveUpInTime(d)));
         }
     }
@@ -697,14 +697,14 @@
             this.type = settings.classes().get(message.messageClass());
             this.destination = destinations.computeIfAbsent(message.destination(), id -> new Destination());
             this.deadline = at + message.timeLeftMs();
-            this.aimAt = deadline - type.deadlineMs() + type.aimMs();
+            this.aimAt = deadline - type.deadlineMs() + type.latencyTargetMs();
         }
 
-        MessageSnapshot memory(Map<Call, Long> calls) {
+        MessageSnapshot snapshot(Map<Call, Long> calls) {
             Message left = new Message(message.id(), message.messageClass(), message.tenant(), message.key(),
                     deadline - clock, message.destination());
             return new MessageSnapshot(left, notBefore - clock, waves, refused, ended, unheard, openCalls,
-                    attempts.stream().map(a -> a.memory(calls)).toList());
+                    attempts.stream().map(a -> a.snapshot(calls)).toList());
         }
 
         @Override
@@ -771,7 +771,7 @@
             });
         }
 
-        AttemptSnapshot memory(Map<Call, Long> calls) {
+        AttemptSnapshot snapshot(Map<Call, Long> calls) {
             return new AttemptSnapshot(target.map(t -> t.entry.id()).orElse(-1L), sentAt - clock, mayHaveRun,
                     out, call.filter(c -> out).map(c -> calls.computeIfAbsent(c, x -> (long) calls.size()))
                             .orElse(-1L));
@@ -806,7 +806,7 @@
         }
 
         void itemEnded(AttemptEnd end) {
-            target.limit.told(end.waitMs());
+            target.limit.told(end.retryAfterMs());
             if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
                 observed = true;
                 target.observe(this, end);
@@ -851,7 +851,7 @@
          * in an outage all would go at once to what may just be coming back cold. What was never called for
          * goes once ahead of the pace, in the first half of its time, not all of it at one moment.
          */
-        void resumed(Delivery d) {
+        void messageRecovered(Delivery d) {
             boolean untried = d.attempts.isEmpty();
             backlog++;
             troubled += d.attempts.size() > 1 || !untried && !d.attempts.get(0).mayHaveRun ? 1 : 0;
@@ -925,12 +925,12 @@
             this.destination = destination;
         }
 
-        LimitSnapshot memory() {
+        LimitSnapshot snapshot() {
             return new LimitSnapshot(pressed, lastSecond.count(), rate, edge, nextAt - clock,
-                    waitUntil - clock, cutAt - clock, sends.memory());
+                    waitUntil - clock, cutAt - clock, sends.snapshot());
         }
 
-        void remember(LimitSnapshot m, double takenAt) {
+        void restore(LimitSnapshot m, double takenAt) {
             pressed = m.pressed();
             lastSecond.restore(m.lastSecond(), takenAt);
             rate = m.rate();
@@ -938,7 +938,7 @@
             nextAt = takenAt + m.nextIn();
             waitUntil = takenAt + m.waitIn();
             cutAt = takenAt + m.cutIn();
-            sends.remember(m.sends());
+            sends.restore(m.sends());
         }
 
         void sent() {
@@ -955,8 +955,8 @@
         }
 
         /** Each message of a call may be told its own wait, in turns of its own. */
-        void told(double waitMs) {
-            waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
+        void told(double retryAfterMs) {
+            waitUntil = retryAfterMs > 0 ? Math.max(waitUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : waitUntil;
         }
 
         /**
@@ -1075,13 +1075,13 @@
             return latency.mean() * (1 + out) + fruitless * SHUT_MS + fee * FEE_MS * freeShare;
         }
 
-        EndpointSnapshot memory() {
+        EndpointSnapshot snapshot() {
             return new EndpointSnapshot(entry, state.name(), latency.mean(), latency.deviation(), bad,
                     silentCalls, fruitless, fruitlessSince - clock, lastGood - clock, warmSince - clock,
-                    nextAt - clock, carried.memory(), destination.demand.memory(), limit.memory());
+                    nextAt - clock, carried.snapshot(), destination.demand.snapshot(), limit.snapshot());
         }
 
-        void remember(EndpointSnapshot m, double takenAt) {
+        void restore(EndpointSnapshot m, double takenAt) {
             state = State.valueOf(m.state());
             latency.set(m.latency(), m.deviation());
             bad = m.bad();
@@ -1091,9 +1091,9 @@
             lastGood = takenAt + m.lastGoodIn();
             warmSince = takenAt + m.warmIn();
             nextAt = takenAt + m.nextIn();
-            carried.remember(m.carried());
-            destination.demand.remember(m.demand());
-            limit.remember(m.limit(), takenAt);
+            carried.restore(m.carried());
+            destination.demand.restore(m.demand());
+            limit.restore(m.limit(), takenAt);
         }
 
         /** By the list and by the operators, whatever its health. */
@@ -1152,7 +1152,7 @@
         }
 
         double timeout(MessageClass type) {
-            double base = Math.max(type.aimMs() * TIMEOUT_AIMS, latency.bound(TIMEOUT_DEVIATIONS));
+            double base = Math.max(type.latencyTargetMs() * TIMEOUT_AIMS, latency.bound(TIMEOUT_DEVIATIONS));
             double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
             return Math.max(base, patience);
         }
@@ -1210,7 +1210,7 @@
         }
 
         private void turnedAway(Call call, AttemptEnd end) {
-            if (noneGood(call) || end.waitMs() >= SHUT_MS) {
+            if (noneGood(call) || end.retryAfterMs() >= SHUT_MS) {
                 down("is shut");
             }
         }
--- a/src/main/java/starlingvalve/KeyOrder.java
+++ b/src/main/java/starlingvalve/KeyOrder.java
@@ -72,7 +72,7 @@
     }
 
     /** A key rests until this time, as another instance has told. */
-    void remember(String key, double restUntil) {
+    void restore(String key, double restUntil) {
         lines.computeIfAbsent(key, k -> new Line()).restUntil = restUntil;
         timers.add(restUntil, () -> { });
     }
--- a/src/main/java/starlingvalve/Rate.java
+++ b/src/main/java/starlingvalve/Rate.java
@@ -33,11 +33,11 @@
         return events / Math.max(over, leastMs);
     }
 
-    DeliveryPolicy.RateSnapshot memory() {
+    DeliveryPolicy.RateSnapshot snapshot() {
         return new DeliveryPolicy.RateSnapshot(events, over);
     }
 
-    void remember(DeliveryPolicy.RateSnapshot m) {
+    void restore(DeliveryPolicy.RateSnapshot m) {
         events = m.events();
         over = m.over();
         resume();
--- a/src/main/java/starlingvalve/SettingsParser.java
+++ b/src/main/java/starlingvalve/SettingsParser.java
@@ -37,7 +37,7 @@
             fees.add(parse(fee));
         }
         DeliveryPolicy.Decay decay = textOr("family_info.decay", "line").equals("halves")
-                ? DeliveryPolicy.Decay.HALVES : DeliveryPolicy.Decay.LINE;
+                ? DeliveryPolicy.Decay.HALVING : DeliveryPolicy.Decay.LINEAR;
         DeliveryPolicy.ColdStart cold = new DeliveryPolicy.ColdStart(number("rules.start_capacity"),
                 number("rules.warm_after_ms"), number("rules.fall_multiple"), number("rules.fall_ms"));
         boolean ratesListed = !textOr("weight_kind", "none").equals("none");
--- a/src/main/java/starlingvalve/SimulatorAdapter.java
+++ b/src/main/java/starlingvalve/SimulatorAdapter.java
@@ -110,7 +110,7 @@
                 return attemptEnd(instance, f);
             case "CLIENT_LEFT": {
                 long message = f.whole("req");
-                return () -> relay(instance).withdrawn(now, message);
+                return () -> relay(instance).messageWithdrawn(now, message);
             }
             case "TIMER":
                 return () -> relay(instance).wake(now);
@@ -181,11 +181,11 @@
         long destination = f.whole("to_dest");
         DeliveryPolicy.Message message = new DeliveryPolicy.Message(id, messageClass, tenant, key, left, destination);
         return () -> {
-            OptionalDouble away = relay(instance).turnsAway(now, message);
+            OptionalDouble away = relay(instance).admissionRetryAfter(now, message);
             if (away.isPresent()) {
                 action("BOUNCE", instance, id, away.getAsDouble());
             } else {
-                relay(instance).message(now, message);
+                relay(instance).messageAccepted(now, message);
             }
         };
     }
@@ -196,10 +196,10 @@
         f.text("endpoint");
         DeliveryPolicy.Outcome outcome = outcome(f.text("state_code"));
         double took = f.number("wait_time_ms");
-        boolean finished = f.whole("no_more") != 0;
+        boolean messageEnded = f.whole("no_more") != 0;
         double note = f.numberOr("hold_ms", 0);
         double wait = outcome == DeliveryPolicy.Outcome.FULL ? note : 0;
-        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, finished, wait,
+        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, messageEnded, wait,
                 false);
         return () -> relay(instance).attemptEnded(now, end);
     }
@@ -250,8 +250,8 @@
         }
 
         @Override
-        public boolean refuse(long message, double waitMs) {
-            action("BOUNCE", instance, message, waitMs);
+        public boolean refuse(long message, double retryAfterMs) {
+            action("BOUNCE", instance, message, retryAfterMs);
             return true;
         }
 
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -64,7 +64,7 @@
 
     interface Callbacks {
         /** Whether a call may still go out, by all that is known now. */
-        boolean mayStart(Call call);
+        boolean mayBeginAttempt(Call call);
 
         /** Runs a task once calls may go out by the list of endpoints: at once if they may now. */
         default void whenListIsCurrent(Runnable task) {
@@ -81,7 +81,7 @@
         void ended(Call call, Outcome outcome, boolean gone, double waitMs, boolean open);
 
         /** An answer tells a wait, which runs from now on; told with its head, and again once it is whole. */
-        void waitTold(long endpoint, double waitMs);
+        void retryAfterReceived(long endpoint, double waitMs);
 
         /** So many messages were written whole to an endpoint. */
         void written(int messages);
@@ -477,7 +477,7 @@
         }
 
         private void start() {
-            leaveUnless(ends::mayStart);
+            leaveUnless(ends::mayBeginAttempt);
             if (nobodyWaits()) {
                 return;
             }
@@ -525,7 +525,7 @@
         /** One that speaks before it is asked is of no use: what it says later can't be told from an answer. */
         private void startOn(Connection on) {
             if (on.isUsable()) {
-                leaveUnless(ends::mayStart);
+                leaveUnless(ends::mayBeginAttempt);
                 write(on);
             } else {
                 on.close(CloseReason.UNUSABLE);
@@ -647,7 +647,7 @@
         /** A wait is heeded once its head is read, and runs from the last byte on, which may come much later. */
         private void tellWait() {
             if (waitMs > 0) {
-                loop.execute(() -> ends.waitTold(peer.endpoint, waitMs));
+                loop.execute(() -> ends.retryAfterReceived(peer.endpoint, waitMs));
             }
         }
 
--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -164,7 +164,7 @@
     }
 
     /** The message was delivered, which a notice that is still to be heard confirms. */
-    void confirming(AcceptedMessage held) {
+    void endConfirmationPending(AcceptedMessage held) {
         owed(held, AcceptedMessage.Notice.CONFIRMATION, FinishedMessage.ended(held, FinishedMessage.Result.DELIVERED));
     }
 
--- a/src/main/java/starlingvalve/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -28,7 +28,7 @@
     }
 
     /** A class of messages, as far as its repeats go. */
-    record Repeats(DeliveryPolicy.Effect effect, double windowMs) {
+    record Repeats(DeliveryPolicy.Effect effect, double dedupWindowMs) {
     }
 
     /** The final answer may come so long after the deadline. */
@@ -64,7 +64,7 @@
         }
         return switch (repeats.get().effect()) {
             case UNSAFE -> forbid(Violation.REPEATED_ONCE_ONLY, held);
-            case KEYED -> clockMs.getAsLong() - firstMs <= repeats.get().windowMs()
+            case KEYED -> clockMs.getAsLong() - firstMs <= repeats.get().dedupWindowMs()
                     || forbid(Violation.REPEATED_AFTER_WINDOW, held);
             case SAFE -> true;
         };
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -245,8 +245,8 @@
         rules = new MessageRules(journal.clock()::nowMs, this::repeats, events);
         journal.whenBehind(this::catchUpLater);
         catchUpLater();
-        Optional<DeliveryPolicy.Snapshot> memory = state.flatMap(this::memory);
-        if (memory.isPresent()) {
+        Optional<DeliveryPolicy.Snapshot> snapshot = state.flatMap(this::snapshot);
+        if (snapshot.isPresent()) {
             state.get().path("endpoints").forEach(id -> registry.number(id.asText()));
             journal.reserve(state.get().path("numbers").asLong());
         }
@@ -254,13 +254,13 @@
         discovery.withdraw(journal.withdrawn());
         intake.drain(journal.drained());
         for (String endpoint : journal.maintained()) {
-            relay.maintenance(openTurn(), registry.number(endpoint), true);
+            relay.setMaintenance(openTurn(), registry.number(endpoint), true);
         }
         owner = true;
-        ready = memory.isPresent();
+        ready = snapshot.isPresent();
         discovery.tell();
-        if (memory.isPresent()) {
-            inherit(state.get(), memory.get());
+        if (snapshot.isPresent()) {
+            inherit(state.get(), snapshot.get());
         }
         handover.listen(config.handover());
     }
@@ -272,7 +272,7 @@
             return Optional.empty();
         }
         DeliveryPolicy.MessageClass known = config.settings().classes().get(number);
-        return Optional.of(new MessageRules.Repeats(known.effect(), known.windowMs()));
+        return Optional.of(new MessageRules.Repeats(known.effect(), known.dedupWindowMs()));
     }
 
     /** Records that the disk did not take from the old process. */
@@ -295,13 +295,13 @@
     }
 
     /** What the old process knew, if it can be read. */
-    private Optional<DeliveryPolicy.Snapshot> memory(JsonNode state) {
+    private Optional<DeliveryPolicy.Snapshot> snapshot(JsonNode state) {
         List<String> classes = new ArrayList<>();
         state.path("classes").forEach(name -> classes.add(name.asText()));
         try {
-            DeliveryPolicy.Snapshot memory =
+            DeliveryPolicy.Snapshot snapshot =
                     HandoverConnection.JSON.treeToValue(state.path("memory"), DeliveryPolicy.Snapshot.class);
-            return Optional.of(classes.equals(config.classes()) ? memory : withOwnClasses(memory, classes));
+            return Optional.of(classes.equals(config.classes()) ? snapshot : withOwnClasses(snapshot, classes));
         } catch (IOException | RuntimeException e) {
             Log.line("the old process's state can't be read, so this is a plain start: " + e.getMessage());
             return Optional.empty();
@@ -309,22 +309,22 @@
     }
 
     /** By the numbers that the classes have here; messages of a class that is gone are left out, and so given up. */
-    private DeliveryPolicy.Snapshot withOwnClasses(DeliveryPolicy.Snapshot memory, List<String> classes) {
+    private DeliveryPolicy.Snapshot withOwnClasses(DeliveryPolicy.Snapshot snapshot, List<String> classes) {
         List<DeliveryPolicy.MessageSnapshot> messages = new ArrayList<>();
-        for (DeliveryPolicy.MessageSnapshot known : memory.messages()) {
+        for (DeliveryPolicy.MessageSnapshot known : snapshot.messages()) {
             int messageClass = config.classes().indexOf(classes.get(known.message().messageClass()));
             if (messageClass >= 0) {
                 messages.add(known.withClass(messageClass));
             }
         }
-        return new DeliveryPolicy.Snapshot(memory.endpoints(), messages, memory.keyRests(), memory.firstSends(),
-                memory.copies(), memory.retries());
+        return new DeliveryPolicy.Snapshot(snapshot.endpoints(), messages, snapshot.keyRests(), snapshot.firstSends(),
+                snapshot.copies(), snapshot.retries());
     }
 
-    private void inherit(JsonNode state, DeliveryPolicy.Snapshot memory) {
+    private void inherit(JsonNode state, DeliveryPolicy.Snapshot snapshot) {
         double age = Math.max(0, journal.clock().nowMs() - state.path("at").asLong());
         Set<Long> remembered = new HashSet<>();
-        for (DeliveryPolicy.MessageSnapshot m : memory.messages()) {
+        for (DeliveryPolicy.MessageSnapshot m : snapshot.messages()) {
             remembered.add(m.message().id());
             inherited.openCalls(m.message().id(), m.openCalls());
             for (int i = 0; i < m.attempts().size(); i++) {
@@ -343,7 +343,7 @@
                 held.told = heard.test(held);
             }
         }
-        event(() -> relay.remember(openTurn(), clock - age, memory));
+        event(() -> relay.restore(openTurn(), clock - age, snapshot));
         Log.line(config.name() + " took over " + open.size() + " messages, with " + inherited.size() + " calls out");
         reconcile(age);
     }
@@ -363,7 +363,7 @@
      * with is resumed as after a restart, and it drops what is over.
      */
     private void reconcile(double ageMs) {
-        Set<Long> inModule = relay.open();
+        Set<Long> inModule = relay.openMessages();
         events.add("takeover", "age_ms", Math.round(ageMs), "open", open.size(), "module", inModule.size(), "calls",
                 inherited.size(), "notices", notices.owed());
         long steady = journal.clock().nowMs();
@@ -375,7 +375,7 @@
             }
         }
         inModule.stream().filter(number -> open.find(number).isEmpty())
-                .forEach(number -> event(() -> relay.withdrawn(openTurn(), number)));
+                .forEach(number -> event(() -> relay.messageWithdrawn(openTurn(), number)));
     }
 
     /** Where operators call. */
@@ -427,7 +427,7 @@
         notices.owe(held);
         int messageClass = config.classes().indexOf(held.messageClass);
         if (messageClass >= 0) {
-            event(() -> relay.unheard(openTurn(), message(held, messageClass, held.deadlineMs - steady)));
+            event(() -> relay.endedUnacknowledged(openTurn(), message(held, messageClass, held.deadlineMs - steady)));
         }
     }
 
@@ -456,7 +456,7 @@
         if (earlier.isEmpty()) {
             untried.found(held.number, leftMs);
         }
-        relay.resumed(now, message(held, messageClass, leftMs), earlier);
+        relay.messageRecovered(now, message(held, messageClass, leftMs), earlier);
     }
 
     /** From now on this process owes a message its end. */
@@ -468,7 +468,7 @@
     /** Ends what the module does not: its client may come again, after so long, if it surely has not run. */
     private void giveUp(AcceptedMessage held, double waitMs) {
         end(held, notice(held, waitMs));
-        event(() -> relay.confirming(openTurn(), held.number));
+        event(() -> relay.endConfirmationPending(openTurn(), held.number));
     }
 
     /** Time is up for a message that nobody has ended. A loop that was held up may have its end still before it. */
@@ -483,7 +483,7 @@
                 return;
             }
             events.add("overdue", "id", held.id, "class", held.messageClass, "told", held.told, "attempts",
-                    held.attempts.size(), "module", relay.open().contains(held.number));
+                    held.attempts.size(), "module", relay.openMessages().contains(held.number));
             giveUp(held, FAULT_RETRY_AFTER_MS);
         });
     }
@@ -558,7 +558,7 @@
     // ---- what the module asks ----
 
     @Override
-    public boolean mayCall() {
+    public boolean mayStartCalls() {
         if (listLease.isValid()) {
             return true;
         }
@@ -641,8 +641,8 @@
     /** The endpoints' side. */
     private final class EndpointCallbacks implements Endpoints.Callbacks {
         @Override
-        public boolean mayStart(Endpoints.Call call) {
-            return relay.mayStart(now(), call.held.number, call.attempt);
+        public boolean mayBeginAttempt(Endpoints.Call call) {
+            return relay.mayBeginAttempt(now(), call.held.number, call.attempt);
         }
 
         @Override
@@ -727,8 +727,8 @@
         }
 
         @Override
-        public void waitTold(long endpoint, double waitMs) {
-            Runnable here = () -> event(() -> relay.waitTold(openTurn(), endpoint, waitMs));
+        public void retryAfterReceived(long endpoint, double waitMs) {
+            Runnable here = () -> event(() -> relay.retryAfterReceived(openTurn(), endpoint, waitMs));
             if (handover.leaving()) {
                 handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs), here);
             } else {
@@ -743,7 +743,7 @@
 
         @Override
         public void closed(Endpoints.Call call) {
-            Runnable here = () -> event(() -> relay.callClosed(openTurn(), call.held.number));
+            Runnable here = () -> event(() -> relay.callEnded(openTurn(), call.held.number));
             if (handover.leaving()) {
                 handover.tell(HandoverConnection.line("closed").put("message", call.held.number), here);
             } else {
@@ -784,9 +784,9 @@
         if (!held.over) {
             over(held, Stats.End.SERVED);
             events.add("confirming", "id", held.id, "attempts", held.attempts.size());
-            journal.confirming(held);
+            journal.endConfirmationPending(held);
             notices.owe(held);
-            event(() -> relay.confirming(openTurn(), held.number));
+            event(() -> relay.endConfirmationPending(openTurn(), held.number));
         }
     }
 
@@ -796,7 +796,7 @@
             confirm(held);
         } else if (!held.over) {
             overByAnswer(held, FinishedMessage.Result.FAILED);
-            event(() -> relay.withdrawn(openTurn(), held.number));
+            event(() -> relay.messageWithdrawn(openTurn(), held.number));
         }
     }
 
@@ -818,7 +818,7 @@
         events.add("notice-heard", "id", held.id);
         rules.heard(held);
         journal.ended(held);
-        event(() -> relay.heard(openTurn(), held.number));
+        event(() -> relay.endAcknowledged(openTurn(), held.number));
     }
 
     private void listed(boolean whole, List<EndpointList.Entry> entries) {
@@ -944,7 +944,7 @@
                 new AcceptedMessage(journal.nextNumber(), s.id(), s.messageClass(), s.tenant(), s.key(), s.thread(),
                         s.destination(), journal.clock().nowMs() + budgetMs, s.body());
         try {
-            OptionalDouble away = relay.turnsAway(openTurn(), message(held, messageClass, budgetMs));
+            OptionalDouble away = relay.admissionRetryAfter(openTurn(), message(held, messageClass, budgetMs));
             if (away.isPresent()) {
                 return refused(s, "no time for it here", away.getAsDouble());
             }
@@ -1001,7 +1001,7 @@
         }
         int messageClass = config.classes().indexOf(held.messageClass);
         double left = held.deadlineMs - journal.clock().nowMs();
-        event(() -> relay.message(openTurn(), message(held, messageClass, left)));
+        event(() -> relay.messageAccepted(openTurn(), message(held, messageClass, left)));
     }
 
     /** The operators' side. */
@@ -1014,7 +1014,7 @@
         @Override
         public String figures() {
             Set<Long> listed = registry.listed();
-            int excluded = (int) listed.stream().filter(relay::avoids).count();
+            int excluded = (int) listed.stream().filter(relay::isExcluded).count();
             return stats.text(new Stats.Gauges(open.size(), listed.size(), excluded));
         }
 
@@ -1035,7 +1035,7 @@
                     () -> {
                         if (outNow != out) {
                             journal.maintained(endpoint, out);
-                            relay.maintenance(openTurn(), number.getAsLong(), out);
+                            relay.setMaintenance(openTurn(), number.getAsLong(), out);
                         }
                     });
         }
@@ -1104,7 +1104,7 @@
             // What is not written yet is the new process's to send; these ends come before what follows.
             new ArrayList<>(calls.values()).forEach(call -> event(() -> endpoints.callOffUnsent(call)));
             loop.execute(() -> {
-                event(() -> relay.handingOver(openTurn(), HANDOVER_PAUSE_MS));
+                event(() -> relay.handoverStarting(openTurn(), HANDOVER_PAUSE_MS));
                 notices.pause();
                 Optional<ObjectNode> state = state();
                 if (state.isPresent()) {
@@ -1130,7 +1130,7 @@
                 ArrayNode unheard = state.putArray("unheard");
                 open.all().stream().filter(held -> !held.told).forEach(held -> unheard.add(held.number));
                 state.set("list", discovery.list());
-                state.set("memory", HandoverConnection.JSON.valueToTree(relay.memory(openTurn())));
+                state.set("memory", HandoverConnection.JSON.valueToTree(relay.snapshot(openTurn())));
                 return Optional.of(state);
             } catch (RuntimeException e) {
                 FaultIsolation.report(e);
@@ -1177,7 +1177,7 @@
 
         /** What this process has at each step: the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
-            events.add("handover", "phase", phase, "open", open.size(), "module", relay.open().size(), "calls",
+            events.add("handover", "phase", phase, "open", open.size(), "module", relay.openMessages().size(), "calls",
                     calls.size(), "notices", notices.owed(), "closing", closing);
         }
     }
@@ -1284,7 +1284,7 @@
                         line.path("confirm").asBoolean(),
                         line.path("waitMs").asDouble(), line.path("tookMs").asDouble(),
                         line.path("open").asBoolean());
-                case "wait" -> event(() -> relay.waitTold(openTurn(), line.path("endpoint").asLong(),
+                case "wait" -> event(() -> relay.retryAfterReceived(openTurn(), line.path("endpoint").asLong(),
                         line.path("waitMs").asDouble()));
                 case "over" -> inherited.held(message).ifPresent(
                         held -> overAfterEnd(held, line.path("delivered").asBoolean()));
@@ -1315,7 +1315,7 @@
 
         private void closed(long message) {
             if (inherited.closed(message)) {
-                event(() -> relay.callClosed(openTurn(), message));
+                event(() -> relay.callEnded(openTurn(), message));
             }
         }
 
@@ -1368,7 +1368,7 @@
         public void gone() {
             Log.line("the old process is gone, with " + inherited.size() + " calls out");
             events.add("predecessor-gone", "calls", inherited.size(), "open", open.size(), "module",
-                    relay.open().size(), "unanswered", answering.size());
+                    relay.openMessages().size(), "unanswered", answering.size());
             for (Out attempt : inherited.allOut()) {
                 event(() -> ended(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0, false));
             }
@@ -1408,7 +1408,7 @@
                 stopped.countDown();
                 return;
             }
-            event(() -> relay.closing(openTurn(), clock + closingMs));
+            event(() -> relay.shutdownScheduled(openTurn(), clock + closingMs));
             loop.schedule(() -> {
                 intake.close();
                 awaitIdle(begun);
--- a/src/main/java/starlingvalve/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -97,8 +97,8 @@
             DeliveryPolicy.Message message =
                     new DeliveryPolicy.Message(messages, messageClass, 0, Optional.of("k" + messages % 7), 5000,
                             messages % (ENDPOINTS / 2));
-            relay.turnsAway(now, message);
-            relay.message(now, message);
+            relay.admissionRetryAfter(now, message);
+            relay.messageAccepted(now, message);
             messages++;
             relay.endTurn(now);
         }
@@ -108,7 +108,7 @@
                 long[] out = sent.remove();
                 DeliveryPolicy.Outcome outcome =
                         round % 9 == 8 ? DeliveryPolicy.Outcome.FULL : DeliveryPolicy.Outcome.DELIVERED;
-                relay.mayStart(now, out[0], (int) out[1]);
+                relay.mayBeginAttempt(now, out[0], (int) out[1]);
                 relay.attemptEnded(now, new DeliveryPolicy.AttemptEnd(out[0], (int) out[1], outcome, 20,
                         outcome == DeliveryPolicy.Outcome.DELIVERED, 0, false));
             }
@@ -170,9 +170,9 @@
         }
         for (int i = 0; i < STANDING && mayStep(); i++) {
             JsonNode line = HandoverConnection.JSON.readTree(
-                    HandoverConnection.JSON.valueToTree(old.relay.memory(old.now)).toString());
+                    HandoverConnection.JSON.valueToTree(old.relay.snapshot(old.now)).toString());
             Scratch fresh = new Scratch();
-            fresh.relay.remember(0, 0, HandoverConnection.JSON.treeToValue(line, DeliveryPolicy.Snapshot.class));
+            fresh.relay.restore(0, 0, HandoverConnection.JSON.treeToValue(line, DeliveryPolicy.Snapshot.class));
             fresh.relay.endTurn(0);
             SubmissionServer.Submission s =
                     new SubmissionServer.Submission("id", "class", "", Optional.of("key"), Optional.empty(), 1, 1,
--- a/src/test/java/starlingvalve/ConfirmedEndTest.java
+++ b/src/test/java/starlingvalve/ConfirmedEndTest.java
@@ -13,7 +13,7 @@
     private static PolicyHarness twoOfOneKey() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
         for (long id = 1; id <= 2; id++) {
-            b.relay.message(b.now, new DeliveryPolicy.Message(id, UNSAFE, 0, Optional.of("key"), 20_000, 1));
+            b.relay.messageAccepted(b.now, new DeliveryPolicy.Message(id, UNSAFE, 0, Optional.of("key"), 20_000, 1));
         }
         b.relay.endTurn(b.now);
         assertEquals(List.of(1L), b.sent());
@@ -23,12 +23,12 @@
     @Test
     void theNextOfItsKeyWaitsUntilTheNoticeIsHeard() {
         PolicyHarness b = twoOfOneKey();
-        b.relay.confirming(b.now, 1);
+        b.relay.endConfirmationPending(b.now, 1);
         b.relay.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.DELIVERED, 10, true, 0, false));
         b.relay.endTurn(b.now);
         b.until(b.now + 3000);
         assertEquals(List.of(1L), b.sent(), "its end is not heard yet");
-        b.relay.heard(b.now, 1);
+        b.relay.endAcknowledged(b.now, 1);
         b.relay.endTurn(b.now);
         b.until(b.now + 3000);
         assertEquals(List.of(1L, 2L), b.sent());
@@ -39,15 +39,15 @@
     void whatHasLeftItsCallIsNotSentAgain() {
         PolicyHarness b = twoOfOneKey();
         b.relay.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.NOT_SENT, 10, false, 0, true));
-        b.relay.confirming(b.now, 1);
+        b.relay.endConfirmationPending(b.now, 1);
         b.relay.endTurn(b.now);
         b.until(b.now + 3000);
         assertEquals(List.of(1L), b.sent());
-        b.relay.callClosed(b.now, 1);
+        b.relay.callEnded(b.now, 1);
         b.relay.endTurn(b.now);
         b.until(b.now + 3000);
         assertEquals(List.of(1L), b.sent(), "its notice is still to be heard");
-        b.relay.heard(b.now, 1);
+        b.relay.endAcknowledged(b.now, 1);
         b.relay.endTurn(b.now);
         b.until(b.now + 3000);
         assertEquals(List.of(1L, 2L), b.sent());
@@ -57,9 +57,9 @@
     @Test
     void aMessageThatIsNotKnownIsPassedOver() {
         PolicyHarness b = twoOfOneKey();
-        b.relay.confirming(b.now, 7);
-        b.relay.withdrawn(b.now, 1);
-        b.relay.confirming(b.now, 1);
+        b.relay.endConfirmationPending(b.now, 7);
+        b.relay.messageWithdrawn(b.now, 1);
+        b.relay.endConfirmationPending(b.now, 1);
         b.relay.endTurn(b.now);
         assertEquals(List.of(1L), b.sent());
     }
--- a/src/test/java/starlingvalve/DeliverySchedulerTest.java
+++ b/src/test/java/starlingvalve/DeliverySchedulerTest.java
@@ -280,7 +280,7 @@
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
         b.take(1, UNSAFE, 1, "k");
         b.take(2, UNSAFE, 1, "k");
-        b.relay.withdrawn(b.now, 1);
+        b.relay.messageWithdrawn(b.now, 1);
         b.until(300);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 0, Outcome.DELIVERED);
@@ -298,7 +298,7 @@
         assertThrows(IllegalArgumentException.class, () -> b.take(1, SAFE, 1));
         assertThrows(IllegalArgumentException.class, () -> b.take(2, 17, 1));
         assertThrows(IllegalArgumentException.class, () -> b.relay.wake(b.now - 1));
-        b.relay.withdrawn(b.now, 99);
+        b.relay.messageWithdrawn(b.now, 99);
         b.relay.wake(b.now);
     }
 
@@ -355,22 +355,22 @@
     @Test
     void anEndpointThatIsLeftOutGetsNothingWhateverTheListSaysAndComesBackCold() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.relay.maintenance(b.now, 10, true);
-        b.relay.maintenance(b.now, 10, true);
+        b.relay.setMaintenance(b.now, 10, true);
+        b.relay.setMaintenance(b.now, 10, true);
         b.list(1, 10);
-        assertTrue(b.relay.avoids(10));
-        assertFalse(b.relay.avoids(11));
+        assertTrue(b.relay.isExcluded(10));
+        assertFalse(b.relay.isExcluded(11));
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 50);
         b.takeEvery(50, SAFE, 1, 10_000);
         assertTrue(b.sends.stream().allMatch(s -> s.endpoint() == 11));
-        b.relay.maintenance(b.now, 10, false);
+        b.relay.setMaintenance(b.now, 10, false);
         b.take(999, SAFE, 1);
         assertEquals(10, b.sends.get(b.sends.size() - 1).endpoint(), "one call back undoes two out");
         b.takeEvery(50, SAFE, 1, 12_000);
         long early = b.sends.stream().filter(s -> s.endpoint() == 10).count();
         assertTrue(early >= 1 && early <= 15, "used, but as a cold one: " + early);
         int before = b.sends.size();
-        b.relay.maintenance(b.now, 10, false);
+        b.relay.setMaintenance(b.now, 10, false);
         b.takeEvery(50, SAFE, 1, 24_000);
         assertTrue(b.sends.stream().skip(before).filter(s -> s.endpoint() == 10).count() > 40);
     }
@@ -379,9 +379,9 @@
     void aCallThatWaitsForItsConnectionDoesNotStartOnceItsEndpointIsLeftOut() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
         b.take(1, SAFE, 1);
-        assertTrue(b.relay.mayStart(b.now, 1, 0));
-        b.relay.maintenance(b.now, 10, true);
-        assertFalse(b.relay.mayStart(b.now, 1, 0));
+        assertTrue(b.relay.mayBeginAttempt(b.now, 1, 0));
+        b.relay.setMaintenance(b.now, 10, true);
+        assertFalse(b.relay.mayBeginAttempt(b.now, 1, 0));
     }
 
     // ---- faults ----
--- a/src/test/java/starlingvalve/ExampleTest.java
+++ b/src/test/java/starlingvalve/ExampleTest.java
@@ -17,11 +17,11 @@
                 new DeliveryPolicy.MessageClass(2000, 16_000, 1, 0.5, DeliveryPolicy.Effect.SAFE, false, 0, false);
         DeliveryPolicy.Settings settings =
                 new DeliveryPolicy.Settings(List.of(order), List.of(new DeliveryPolicy.Kind(false, 1)), false,
-                        DeliveryPolicy.Decay.LINE, List.of(), 1, 10, 6, true, true, 0, 15_000,
+                        DeliveryPolicy.Decay.LINEAR, List.of(), 1, 10, 6, true, true, 0, 15_000,
                         new DeliveryPolicy.ColdStart(0.2, 10_000, 2, 1500));
         DeliveryPolicy relay = DeliveryPolicy.create(settings, 42, new Printing());
         relay.endpoints(0, true, List.of(new DeliveryPolicy.Endpoint(51, 7, 0, 0, true, 0)));
-        relay.message(0, new DeliveryPolicy.Message(1, 0, 0, Optional.empty(), 16_000, 7));
+        relay.messageAccepted(0, new DeliveryPolicy.Message(1, 0, 0, Optional.empty(), 16_000, 7));
         relay.endTurn(0);
         relay.attemptEnded(80,
                 new DeliveryPolicy.AttemptEnd(1, 0, DeliveryPolicy.Outcome.DELIVERED, 80, true, 0, false));
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public boolean refuse(long message, double waitMs) {
+        public boolean refuse(long message, double retryAfterMs) {
             return done.add("refuse " + message);
         }
 
--- a/src/test/java/starlingvalve/HandoverMemoryTest.java
+++ b/src/test/java/starlingvalve/HandoverMemoryTest.java
@@ -23,9 +23,9 @@
     private static final JsonMapper JSON = JsonMapper.builder().addModule(new Jdk8Module()).build();
 
     /** As it passes between two processes. */
-    private static DeliveryPolicy.Snapshot passed(DeliveryPolicy.Snapshot memory) {
+    private static DeliveryPolicy.Snapshot passed(DeliveryPolicy.Snapshot snapshot) {
         try {
-            return JSON.readValue(JSON.valueToTree(memory).toString(), DeliveryPolicy.Snapshot.class);
+            return JSON.readValue(JSON.valueToTree(snapshot).toString(), DeliveryPolicy.Snapshot.class);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -131,7 +131,7 @@
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 10);
         b.until(3000);
         b.allAnswered();
-        b.relay.callClosed(b.now, 1);
+        b.relay.callEnded(b.now, 1);
     }
 
     @Test
@@ -146,7 +146,7 @@
         PolicyHarness b = successor(old);
         b.until(2000);
         assertEquals(List.of(), b.sent(), "the key waits for the open call here too");
-        b.relay.callClosed(b.now, 1);
+        b.relay.callEnded(b.now, 1);
         b.relay.endTurn(b.now);
         b.until(3000);
         assertEquals(List.of(2L), b.sent(), "the key goes on once the call is closed");
@@ -216,8 +216,8 @@
         old.until(16_000);
         old.take(2, SAFE, 2);
         old.answers.clear();
-        DeliveryPolicy.Snapshot memory = passed(old.relay.memory(old.now));
-        DeliveryPolicy.MessageSnapshot second = memory.messages().get(memory.messages().size() - 1);
+        DeliveryPolicy.Snapshot snapshot = passed(old.relay.snapshot(old.now));
+        DeliveryPolicy.MessageSnapshot second = snapshot.messages().get(snapshot.messages().size() - 1);
         DeliveryPolicy.MessageSnapshot overdue =
                 new DeliveryPolicy.MessageSnapshot(new DeliveryPolicy.Message(1, SAFE, 0, second.message().key(), -10,
                         2), 0, 0, false, false, false, 0, List.of());
@@ -246,7 +246,7 @@
         } catch (IllegalStateException fault) {
             // It is overdue, and its end fails.
         }
-        assertEquals(Set.of(), b.relay.open(), "it would count as looked after");
+        assertEquals(Set.of(), b.relay.openMessages(), "it would count as looked after");
     }
 
     @Test
@@ -256,9 +256,9 @@
         old.until(1000);
         old.take(2, SAFE, 2);
         old.until(15_500);
-        old.relay.handingOver(old.now, 1000);
+        old.relay.handoverStarting(old.now, 1000);
         assertEquals(List.of("refuse 1"), old.answers);
-        assertEquals(Set.of(2L), old.relay.open());
+        assertEquals(Set.of(2L), old.relay.openMessages());
     }
 
     /** As the sender does: what the module throws ends its turn, and is noted. */
@@ -296,9 +296,9 @@
         }
         PolicyHarness b = world(new PolicyHarness());
         b.onSend = s -> endAtRandom(b, s, random);
-        DeliveryPolicy.Snapshot memory = passed(old.relay.memory(old.now));
-        b.takeOver(old, 0, m -> memory);
-        for (DeliveryPolicy.MessageSnapshot m : memory.messages()) {
+        DeliveryPolicy.Snapshot snapshot = passed(old.relay.snapshot(old.now));
+        b.takeOver(old, 0, m -> snapshot);
+        for (DeliveryPolicy.MessageSnapshot m : snapshot.messages()) {
             for (int i = 0; i < m.attempts().size(); i++) {
                 if (m.attempts().get(i).out()) {
                     endAtRandom(b, new PolicyHarness.Sent(m.message().id(), i, 0, 0,
@@ -307,7 +307,7 @@
             }
         }
         b.until(16_300);
-        for (DeliveryPolicy.MessageSnapshot m : memory.messages()) {
+        for (DeliveryPolicy.MessageSnapshot m : snapshot.messages()) {
             assertTrue(m.ended() || b.isOver(m.message().id()), "message " + m.message().id() + " has no end");
         }
     }
--- a/src/test/java/starlingvalve/ListLeaseGateTest.java
+++ b/src/test/java/starlingvalve/ListLeaseGateTest.java
@@ -14,19 +14,19 @@
 
     @Test
     void nothingIsSentUntilCallsMayGoOutAndThenByTheListOfThen() {
-        bench.mayCall = false;
+        bench.mayStartCalls = false;
         bench.take(1, SAFE, 1);
         assertEquals(List.of(), bench.sends);
         assertEquals(1, bench.heldBack);
         bench.entry(10, 1, 0, 0, false);
-        bench.mayCall = true;
+        bench.mayStartCalls = true;
         bench.relay.endTurn(bench.now);
         assertEquals(List.of(11L), bench.sends.stream().map(PolicyHarness.Sent::endpoint).toList());
     }
 
     @Test
     void nobodyIsAskedWhereNothingWaits() {
-        bench.mayCall = false;
+        bench.mayStartCalls = false;
         bench.relay.endTurn(bench.now);
         assertEquals(0, bench.heldBack);
     }
@@ -34,7 +34,7 @@
     /** A message whose time is up is answered all the same. */
     @Test
     void finalAnswersDoNotWait() {
-        bench.mayCall = false;
+        bench.mayStartCalls = false;
         bench.take(1, SAFE, 1);
         bench.until(bench.now + MessageClasses.CLASSES.get(SAFE).deadlineMs());
         assertEquals(1, bench.answers.size());
@@ -44,12 +44,12 @@
     @Test
     void aCopyThatIsDueIsSentOnceCallsMayGoOut() {
         bench.take(1, SAFE, 1);
-        bench.mayCall = false;
-        double due = bench.now + MessageClasses.CLASSES.get(SAFE).aimMs() / 2;
+        bench.mayStartCalls = false;
+        double due = bench.now + MessageClasses.CLASSES.get(SAFE).latencyTargetMs() / 2;
         bench.until(due + 50);
         assertEquals(1, bench.sends.size());
         assertTrue(bench.heldBack > 0);
-        bench.mayCall = true;
+        bench.mayStartCalls = true;
         bench.until(due + 100);
         assertEquals(2, bench.sends.size());
     }
--- a/src/test/java/starlingvalve/ModuleRestartTest.java
+++ b/src/test/java/starlingvalve/ModuleRestartTest.java
@@ -17,7 +17,7 @@
 class ModuleRestartTest {
     // ---- across lives ----
 
-    private static PolicyHarness resumed(int type, double leftMs, DeliveryPolicy.EarlierAttempt... earlier) {
+    private static PolicyHarness recovered(int type, double leftMs, DeliveryPolicy.EarlierAttempt... earlier) {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
         b.until(20_000);
         b.resume(1, type, 1, leftMs, List.of(earlier));
@@ -30,7 +30,7 @@
 
     @Test
     void anEarlierLifesAttemptHoldsNoSlotAndIsNumberedOnFrom() {
-        PolicyHarness b = resumed(SAFE, 9000, earlier(500, true), earlier(100, false));
+        PolicyHarness b = recovered(SAFE, 9000, earlier(500, true), earlier(100, false));
         assertEquals(List.of(1L), b.sent());
         b.end(1, 2, Outcome.DELIVERED);
         assertTrue(b.answers.isEmpty());
@@ -42,11 +42,11 @@
 
     @Test
     void aKeyedMessageIsRepeatedAfterARestartOnlyWithinItsWindow() {
-        assertEquals(List.of(1L), resumed(KEYED, 9000, earlier(1000, true)).sent());
-        PolicyHarness late = resumed(KEYED, 9000, earlier(4000, true));
+        assertEquals(List.of(1L), recovered(KEYED, 9000, earlier(1000, true)).sent());
+        PolicyHarness late = recovered(KEYED, 9000, earlier(4000, true));
         assertTrue(late.sends.isEmpty());
         assertEquals(List.of("refuse 1"), late.answers, "given up at once, not at its deadline");
-        assertEquals(List.of(1L), resumed(KEYED, 9000, earlier(4000, false)).sent());
+        assertEquals(List.of(1L), recovered(KEYED, 9000, earlier(4000, false)).sent());
     }
 
     @Test
@@ -80,9 +80,9 @@
     @Test
     void whatHasNoTimeToBeSentIsNotTaken() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        assertTrue(b.relay.turnsAway(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 1, 1))
+        assertTrue(b.relay.admissionRetryAfter(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 1, 1))
                 .isPresent());
-        assertFalse(b.relay.turnsAway(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 9, 1))
+        assertFalse(b.relay.admissionRetryAfter(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 9, 1))
                 .isPresent());
     }
 
@@ -114,10 +114,10 @@
         b.until(20_000);
         for (long id = 1; id <= 3; id++) {
             DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, UNSAFE, 0, Optional.of("key"), 6000, 1);
-            b.relay.resumed(b.now, m, List.of());
+            b.relay.messageRecovered(b.now, m, List.of());
         }
         b.relay.endTurn(b.now);
-        b.relay.waitTold(b.now, 10, 1500);
+        b.relay.retryAfterReceived(b.now, 10, 1500);
         b.until(21_490);
         List<Long> before = b.sent();
         assertTrue(before.size() <= 1, "the wait is heeded: " + before);
@@ -138,7 +138,7 @@
             b.resumeInTurn(id, SAFE, 1, 9000, id <= 4 ? List.of(earlier(1000, false)) : List.of());
         }
         b.relay.endTurn(b.now);
-        assertFalse(b.relay.avoids(10));
+        assertFalse(b.relay.isExcluded(10));
     }
 
     @Test
@@ -205,24 +205,24 @@
 
     @Test
     void anUnsafeMessageThatMayHaveRunIsGivenUpAfterARestart() {
-        PolicyHarness b = resumed(UNSAFE, 9000, earlier(100, true));
+        PolicyHarness b = recovered(UNSAFE, 9000, earlier(100, true));
         assertTrue(b.sends.isEmpty());
         assertEquals(List.of("fail 1"), b.answers);
-        assertEquals(List.of(1L), resumed(UNSAFE, 9000, earlier(100, false)).sent());
+        assertEquals(List.of(1L), recovered(UNSAFE, 9000, earlier(100, false)).sent());
     }
 
     @Test
     void attemptsOfAllLivesCountTogether() {
         DeliveryPolicy.EarlierAttempt[] twelve = new DeliveryPolicy.EarlierAttempt[12];
         java.util.Arrays.fill(twelve, earlier(100, false));
-        PolicyHarness b = resumed(SAFE, 9000, twelve);
+        PolicyHarness b = recovered(SAFE, 9000, twelve);
         assertTrue(b.sends.isEmpty());
         assertEquals(List.of("refuse 1"), b.answers);
     }
 
     @Test
     void anOverdueMessageIsAnsweredAtOnce() {
-        PolicyHarness b = resumed(SAFE, -100);
+        PolicyHarness b = recovered(SAFE, -100);
         assertTrue(b.sends.isEmpty());
         assertEquals(List.of("refuse 1"), b.answers);
     }
@@ -234,14 +234,14 @@
         b.take(2, SAFE, 1);
         b.take(3, SAFE, 2);
         assertEquals(3, b.sends.size());
-        assertTrue(b.relay.mayStart(b.now, 2, 0));
+        assertTrue(b.relay.mayBeginAttempt(b.now, 2, 0));
         b.end(1, 0, Outcome.FULL, 700);
-        assertFalse(b.relay.mayStart(b.now, 2, 0));
-        assertTrue(b.relay.mayStart(b.now, 3, 0));
+        assertFalse(b.relay.mayBeginAttempt(b.now, 2, 0));
+        assertTrue(b.relay.mayBeginAttempt(b.now, 3, 0));
         b.until(750);
-        assertTrue(b.relay.mayStart(b.now, 2, 0));
+        assertTrue(b.relay.mayBeginAttempt(b.now, 2, 0));
         b.entry(20, 2, 0, 0, false);
-        assertFalse(b.relay.mayStart(b.now, 3, 0), "it drains");
+        assertFalse(b.relay.mayBeginAttempt(b.now, 3, 0), "it drains");
     }
 
     /** Decided inside its window, it waits for a connection that comes up late: it would run a second time. */
@@ -249,32 +249,32 @@
     void aRepeatDoesNotStartOnceItsWindowHasPassed() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
         b.take(1, KEYED, 1);
-        assertTrue(b.relay.mayStart(b.now, 1, 0), "the first of them has no window");
+        assertTrue(b.relay.mayBeginAttempt(b.now, 1, 0), "the first of them has no window");
         b.until(100);
         b.end(1, 0, Outcome.BROKEN);
         b.until(1000);
         assertEquals(2, b.sends.size());
-        assertTrue(b.relay.mayStart(b.now, 1, 1));
-        b.until(MessageClasses.CLASSES.get(KEYED).windowMs() + 10);
-        assertFalse(b.relay.mayStart(b.now, 1, 1), "what may have run is " + b.now + " ms old");
+        assertTrue(b.relay.mayBeginAttempt(b.now, 1, 1));
+        b.until(MessageClasses.CLASSES.get(KEYED).dedupWindowMs() + 10);
+        assertFalse(b.relay.mayBeginAttempt(b.now, 1, 1), "what may have run is " + b.now + " ms old");
     }
 
     @Test
     void aKeyInOrderWaitsUntilTheAnswerOfTheOneBeforeIsHeard() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
         b.heardAtOnce = false;
-        b.relay.unheard(b.now, new DeliveryPolicy.Message(9, UNSAFE, 0, Optional.of("key"), 100, 1));
+        b.relay.endedUnacknowledged(b.now, new DeliveryPolicy.Message(9, UNSAFE, 0, Optional.of("key"), 100, 1));
         b.take(1, UNSAFE, 1, "key");
         b.take(2, UNSAFE, 1, "key");
         assertEquals(List.of(), b.sent(), "what an earlier life ended is not heard yet");
-        b.relay.heard(b.now, 9);
+        b.relay.endAcknowledged(b.now, 9);
         b.relay.endTurn(b.now);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 0, Outcome.ERROR);
         assertEquals(List.of("fail 1"), b.answers);
         b.until(5000);
         assertEquals(List.of(1L), b.sent());
-        b.relay.heard(b.now, 1);
+        b.relay.endAcknowledged(b.now, 1);
         b.relay.endTurn(b.now);
         assertEquals(List.of(1L, 2L), b.sent());
     }
@@ -289,7 +289,7 @@
         assertEquals(List.of("fail 1"), b.answers, "its own answer is not held back");
         b.until(5000);
         assertEquals(List.of(1L), b.sent());
-        b.relay.callClosed(b.now, 1);
+        b.relay.callEnded(b.now, 1);
         b.relay.endTurn(b.now);
         b.until(6000);
         assertEquals(List.of(1L, 2L), b.sent());
@@ -297,7 +297,7 @@
 
     @Test
     void aKeyInOrderRestsAfterARestartWhereAnAttemptMayRunOn() {
-        PolicyHarness b = resumed(UNSAFE, 9000, earlier(100, true));
+        PolicyHarness b = recovered(UNSAFE, 9000, earlier(100, true));
         b.take(2, UNSAFE, 1, "key 1");
         b.until(20_490);
         assertTrue(b.sends.isEmpty());
@@ -308,7 +308,7 @@
     @Test
     void noCallStartsThatIsNotExpectedToEndBeforeTheClose() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.relay.closing(b.now, 3000);
+        b.relay.shutdownScheduled(b.now, 3000);
         b.take(1, SAFE, 1);
         assertEquals(List.of(1L), b.sent());
         b.take(2, UNSAFE, 1);
@@ -372,8 +372,8 @@
             old.take(id, SAFE, 1);
             old.end(id, 0, Outcome.UNREACHABLE);
         }
-        assertTrue(old.relay.avoids(10));
-        assertTrue(takenOver(old, 10).relay.avoids(10));
+        assertTrue(old.relay.isExcluded(10));
+        assertTrue(takenOver(old, 10).relay.isExcluded(10));
     }
 
     @Test
--- a/src/test/java/starlingvalve/PaceAndHealthTest.java
+++ b/src/test/java/starlingvalve/PaceAndHealthTest.java
@@ -74,7 +74,7 @@
         b.until(b.now + 5);
         b.end(1, 0, Outcome.FULL);
         b.end(2, 0, Outcome.FULL);
-        assertFalse(b.relay.avoids(10));
+        assertFalse(b.relay.isExcluded(10));
     }
 
     @Test
@@ -324,10 +324,10 @@
             b.until(quietMs);
             b.take(2, UNSAFE, 1);
             b.end(2, 0, Outcome.ERROR);
-            assertFalse(b.relay.avoids(10), "one is not enough");
+            assertFalse(b.relay.isExcluded(10), "one is not enough");
             b.take(3, UNSAFE, 1);
             b.end(3, 0, Outcome.ERROR);
-            assertEquals(quietMs > 10_000, b.relay.avoids(10), "after " + quietMs + " ms");
+            assertEquals(quietMs > 10_000, b.relay.isExcluded(10), "after " + quietMs + " ms");
         }
     }
 
--- a/src/test/java/starlingvalve/PolicyHarness.java
+++ b/src/test/java/starlingvalve/PolicyHarness.java
@@ -39,7 +39,7 @@
     Consumer<Sent> onSend = s -> { };
     boolean strict;
     /** The list of endpoints is the newest: calls may go out. */
-    boolean mayCall = true;
+    boolean mayStartCalls = true;
     /** How often the module asked and was told to wait. */
     int heldBack;
     boolean heardAtOnce = true;
@@ -80,7 +80,7 @@
                 List.of(new DeliveryPolicy.Kind(false, 1), new DeliveryPolicy.Kind(false, 5),
                         new DeliveryPolicy.Kind(true, 1));
         DeliveryPolicy.Settings settings =
-                new DeliveryPolicy.Settings(MessageClasses.CLASSES, kinds, true, DeliveryPolicy.Decay.LINE,
+                new DeliveryPolicy.Settings(MessageClasses.CLASSES, kinds, true, DeliveryPolicy.Decay.LINEAR,
                         List.of(0.0, 0.06), senders, slots, 12, true, true, 500, 15_000, coldStart);
         relay = DeliveryPolicy.create(settings, seed, this);
     }
@@ -128,11 +128,11 @@
         double left = type < MessageClasses.CLASSES.size() ? MessageClasses.CLASSES.get(type).deadlineMs() : 16_000;
         DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, type, 0, Optional.of(key), left, destination);
         messages.put(id, m);
-        OptionalDouble away = relay.turnsAway(now, m);
+        OptionalDouble away = relay.admissionRetryAfter(now, m);
         if (away.isPresent()) {
             refuse(id, away.getAsDouble());
         } else {
-            relay.message(now, m);
+            relay.messageAccepted(now, m);
         }
         if (MessageClasses.CLASSES.get(type).inOrder()) {
             byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
@@ -150,12 +150,12 @@
                 new DeliveryPolicy.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
         attempts.put(id, earlier.size());
         messages.put(id, m);
-        relay.resumed(now, m, earlier);
+        relay.messageRecovered(now, m, earlier);
     }
 
     /** Goes on where another instance was, some time ago by the clock. */
     void takeOver(PolicyHarness old, double agoMs) {
-        takeOver(old, agoMs, memory -> memory);
+        takeOver(old, agoMs, snapshot -> snapshot);
     }
 
     /** The same, with what becomes of the memory on its way. */
@@ -164,7 +164,7 @@
         messages.putAll(old.messages);
         ends.putAll(old.ends);
         over.addAll(old.over);
-        relay.remember(now, now - agoMs, passed.apply(old.relay.memory(old.now)));
+        relay.restore(now, now - agoMs, passed.apply(old.relay.snapshot(old.now)));
         relay.endTurn(now);
     }
 
@@ -176,13 +176,13 @@
         end(message, attempt, outcome, 0);
     }
 
-    void end(long message, int attempt, Outcome outcome, double waitMs) {
-        boolean finished = outcome == Outcome.DELIVERED || over.contains(message);
+    void end(long message, int attempt, Outcome outcome, double retryAfterMs) {
+        boolean messageEnded = outcome == Outcome.DELIVERED || over.contains(message);
         ends.put(message + "/" + attempt, outcome);
         if (outcome == Outcome.DELIVERED) {
             over.add(message);
         }
-        relay.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, 10, finished, waitMs,
+        relay.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, 10, messageEnded, retryAfterMs,
                 false));
         relay.endTurn(now);
     }
@@ -197,7 +197,7 @@
 
     void withdraw(long id) {
         over.add(id);
-        relay.withdrawn(now, id);
+        relay.messageWithdrawn(now, id);
         relay.endTurn(now);
     }
 
@@ -236,9 +236,9 @@
     }
 
     @Override
-    public boolean mayCall() {
-        heldBack += mayCall ? 0 : 1;
-        return mayCall;
+    public boolean mayStartCalls() {
+        heldBack += mayStartCalls ? 0 : 1;
+        return mayStartCalls;
     }
 
     @Override
@@ -268,7 +268,7 @@
             }
             assertFalse(type.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
             if (type.effect() == Effect.KEYED) {
-                assertTrue(now <= earlier.at + type.windowMs(), "outside the window");
+                assertTrue(now <= earlier.at + type.dedupWindowMs(), "outside the window");
                 assertTrue(!type.sameZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
             }
@@ -304,8 +304,8 @@
     }
 
     @Override
-    public boolean refuse(long message, double waitMs) {
-        waits.add(waitMs);
+    public boolean refuse(long message, double retryAfterMs) {
+        waits.add(retryAfterMs);
         if (strict) {
             Effect effect = MessageClasses.CLASSES.get(messages.get(message).messageClass()).effect();
             for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
--- a/src/test/java/starlingvalve/net/EndpointClient.java
+++ b/src/test/java/starlingvalve/net/EndpointClient.java
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public boolean mayStart(Endpoints.Call call) {
+    public boolean mayBeginAttempt(Endpoints.Call call) {
         Runnable task = beforeNextStart;
         beforeNextStart = () -> { };
         task.run();
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void waitTold(long endpoint, double waitMs) {
+    public void retryAfterReceived(long endpoint, double waitMs) {
         waits.add(waitMs);
     }
 
--- a/src/test/java/starlingvalve/net/EndpointListWaitTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListWaitTest.java
@@ -43,7 +43,7 @@
             }
 
             @Override
-            public boolean mayStart(Endpoints.Call call) {
+            public boolean mayBeginAttempt(Endpoints.Call call) {
                 return !drains;
             }
 
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -69,7 +69,7 @@
 
     private final Endpoints.Callbacks told = new Endpoints.Callbacks() {
         @Override
-        public void waitTold(long endpoint, double waitMs) {
+        public void retryAfterReceived(long endpoint, double waitMs) {
             waits.add(endpoint + " " + waitMs);
         }
 
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public boolean mayStart(Endpoints.Call call) {
+        public boolean mayBeginAttempt(Endpoints.Call call) {
             beforeStart.run();
             return !barred.contains(call.held.id);
         }
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -184,7 +184,7 @@
         handInBriefly("waiting");
         StubServer.await("it is refused", () -> attemptsEnded("waiting") == 1);
         beforeEvent = (event, arguments) -> {
-            if (event.equals("remember")) {
+            if (event.equals("restore")) {
                 throw new IllegalStateException("a fault of the test's");
             }
         };
@@ -201,7 +201,7 @@
         StubServer.await("it is refused", () -> attemptsEnded("waiting") == 1);
         AtomicInteger asked = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("memory") && asked.getAndIncrement() == 0) {
+            if (event.equals("snapshot") && asked.getAndIncrement() == 0) {
                 throw new IllegalStateException("a fault of the test's");
             }
         };
@@ -235,7 +235,7 @@
     private CountDownLatch dialled(int attempt) {
         CountDownLatch dials = new CountDownLatch(1);
         beforeEvent = (event, arguments) -> {
-            if (event.equals("mayStart") && arguments[2].equals(attempt)) {
+            if (event.equals("mayBeginAttempt") && arguments[2].equals(attempt)) {
                 dials.countDown();
             }
         };
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -132,7 +132,7 @@
         start();
         AtomicBoolean failed = new AtomicBoolean();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("turnsAway") && failed.compareAndSet(false, true)) {
+            if (event.equals("admissionRetryAfter") && failed.compareAndSet(false, true)) {
                 throw new IllegalStateException("a fault of the test's");
             }
         };
--- a/src/test/java/starlingvalve/net/JournalTest.java
+++ b/src/test/java/starlingvalve/net/JournalTest.java
@@ -326,8 +326,8 @@
     void aDeliveryThatANoticeConfirmsStaysOneOverRestartsAndCompaction() throws Exception {
         long deadline = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
-            journal.confirming(taken(journal, "heard", deadline));
-            journal.confirming(taken(journal, "unheard", deadline));
+            journal.endConfirmationPending(taken(journal, "heard", deadline));
+            journal.endConfirmationPending(taken(journal, "unheard", deadline));
             journal.ended(journal.held().iterator().next());
         }
         for (int life = 0; life < 3; life++) {
--- a/src/test/java/starlingvalve/net/LongBudgetTest.java
+++ b/src/test/java/starlingvalve/net/LongBudgetTest.java
@@ -19,7 +19,7 @@
         handIn("long", Long.MAX_VALUE);
         awaitNothingHeld();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("message")) {
+            if (event.equals("messageAccepted")) {
                 throw new IllegalStateException("a fault of the test's");
             }
         };
--- a/src/test/java/starlingvalve/net/ModuleFaultTest.java
+++ b/src/test/java/starlingvalve/net/ModuleFaultTest.java
@@ -42,7 +42,7 @@
     @Test
     void aMessageThatTheModuleWasNotToldOfIsHandedBackInTime() throws Exception {
         start();
-        failNext("message", 1);
+        failNext("messageAccepted", 1);
         long at = handInBrief("forgotten");
         StubServer.await("the notice", () -> !notices.isEmpty());
         assertInTime(at);
@@ -77,7 +77,7 @@
         start();
         handIn("waiting", "plain");
         handIn("behind", "plain");
-        failNext("remember", 1);
+        failNext("restore", 1);
         Sender old = sender;
         listen = "127.0.0.1:" + address.getPort();
         start();
@@ -95,7 +95,7 @@
     void aProcessWhoseStateCanNotBeHandedOverGoesOnAndIsAskedAgain() throws Exception {
         start();
         Socket kept = client();
-        failNext("memory", 2);
+        failNext("snapshot", 2);
         Sender old = sender;
         listen = "127.0.0.1:" + address.getPort();
         start();
--- a/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
+++ b/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
@@ -3,7 +3,7 @@
 /** Lets every call go out, and passes over what a test does not look at. */
 abstract class PermissiveEndpointCallbacks implements Endpoints.Callbacks {
     @Override
-    public boolean mayStart(Endpoints.Call call) {
+    public boolean mayBeginAttempt(Endpoints.Call call) {
         return true;
     }
 
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void waitTold(long endpoint, double waitMs) {
+    public void retryAfterReceived(long endpoint, double waitMs) {
         // Not looked at.
     }
 
--- a/src/test/java/starlingvalve/net/RepeatedIdTest.java
+++ b/src/test/java/starlingvalve/net/RepeatedIdTest.java
@@ -95,7 +95,7 @@
         start();
         Socket lost = client();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("turnsAway")) {
+            if (event.equals("admissionRetryAfter")) {
                 reset(lost);
             }
         };
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -61,7 +61,7 @@
         CountDownLatch asked = new CountDownLatch(1);
         AtomicInteger questions = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("mayStart") && questions.incrementAndGet() == 2) {
+            if (event.equals("mayBeginAttempt") && questions.incrementAndGet() == 2) {
                 // Its connection is up, and nothing is written: the process is as good as gone from here on.
                 asked.countDown();
                 awaitLatch(killed);
@@ -117,7 +117,7 @@
             JournalTest.attempt(journal, held.get(2), new AcceptedMessage.Attempt("s-0", System.currentTimeMillis()));
         }
         beforeEvent = (event, arguments) -> {
-            if (event.equals("resumed") && ((DeliveryPolicy.Message) arguments[1]).id() == 1) {
+            if (event.equals("messageRecovered") && ((DeliveryPolicy.Message) arguments[1]).id() == 1) {
                 throw new IllegalStateException("a fault");
             }
         };
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -86,7 +86,7 @@
         }
         Thread drain = new Thread(() -> sender.drain());
         beforeEvent = (event, arguments) -> {
-            if (event.equals("resumed") && drain.getState() == Thread.State.NEW) {
+            if (event.equals("messageRecovered") && drain.getState() == Thread.State.NEW) {
                 drain.start();
                 // It waits for the loop, which stands here: its task comes in the middle of the replay.
                 awaitState(drain, Thread.State.WAITING);
@@ -114,7 +114,7 @@
         CountDownLatch busy = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         beforeEvent = (event, arguments) -> {
-            if (event.equals("closing")) {
+            if (event.equals("shutdownScheduled")) {
                 busy.countDown();
                 awaitLatch(go);
             }
@@ -146,9 +146,9 @@
         CompletableFuture<Boolean> endedBefore = new CompletableFuture<>();
         AtomicInteger questions = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("closing")) {
+            if (event.equals("shutdownScheduled")) {
                 begun.set(System.nanoTime());
-            } else if (event.equals("mayStart") && questions.incrementAndGet() == 2) {
+            } else if (event.equals("mayBeginAttempt") && questions.incrementAndGet() == 2) {
                 // A connection for the second message is up. The first is answered while the loop is held up.
                 answerAll();
                 while (System.nanoTime() - begun.get() < (closingMs + 100) * 1_000_000) {
--- a/src/test/java/starlingvalve/net/ToldWaitOrderTest.java
+++ b/src/test/java/starlingvalve/net/ToldWaitOrderTest.java
@@ -55,7 +55,7 @@
         teller = new StubServer((request, socket) -> asked.add(socket));
         endpoints = new Endpoints(loop, DIAL_MS, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
             @Override
-            public boolean mayStart(Endpoints.Call call) {
+            public boolean mayBeginAttempt(Endpoints.Call call) {
                 askedToStart++;
                 return !waitIsTold;
             }
@@ -69,7 +69,7 @@
             }
 
             @Override
-            public void waitTold(long endpoint, double waitMs) {
+            public void retryAfterReceived(long endpoint, double waitMs) {
                 waitIsTold = true;
             }
 
