--- a/src/main/java/starlingvalve/SimulatorAdapter.java
+++ b/src/main/java/starlingvalve/SimulatorAdapter.java
@@ -79,7 +79,7 @@
             guarded(instance, event);
         }
         for (String instance : touched) {
-            guarded(instance, () -> relay(instance).endTurn(now));
+            guarded(instance, () -> policy(instance).endTurn(now));
         }
         out.print(reply);
         out.print("YIELD " + batch + "\n");
@@ -110,25 +110,25 @@
                 return attemptEnd(instance, f);
             case "CLIENT_LEFT": {
                 long message = f.whole("req");
-                return () -> relay(instance).messageWithdrawn(now, message);
+                return () -> policy(instance).messageWithdrawn(now, message);
             }
             case "TIMER":
-                return () -> relay(instance).wake(now);
+                return () -> policy(instance).wake(now);
             case "HEADERS":
             case "CHECK_RESULT":
             case "HEARD":
-                return () -> relay(instance).wake(now);
+                return () -> policy(instance).wake(now);
             default:
                 throw new InvalidInputException("unknown event " + name);
         }
     }
 
-    private DeliveryPolicy relay(String instance) {
-        DeliveryPolicy relay = instances.get(instance);
-        if (relay == null) {
+    private DeliveryPolicy policy(String instance) {
+        DeliveryPolicy policy = instances.get(instance);
+        if (policy == null) {
             throw new IllegalStateException("event for an instance that does not run: " + instance);
         }
-        return relay;
+        return policy;
     }
 
     private void roster(Fields f) throws IOException, InvalidInputException {
@@ -156,7 +156,7 @@
     private Runnable update(String instance, Fields f) throws InvalidInputException {
         String mode = f.text("mode");
         if (mode.equals("refused")) {
-            return () -> relay(instance).wake(now);
+            return () -> policy(instance).wake(now);
         }
         f.text("serial");
         List<DeliveryPolicy.Endpoint> entries = lists.get(f.index("list"));
@@ -168,7 +168,7 @@
             case "changes" -> false;
             default -> throw new InvalidInputException("unknown list mode " + mode);
         };
-        return () -> relay(instance).endpoints(now, whole, entries);
+        return () -> policy(instance).endpoints(now, whole, entries);
     }
 
     private Runnable submit(String instance, Fields f) throws InvalidInputException {
@@ -181,11 +181,11 @@
         long destination = f.whole("to_dest");
         DeliveryPolicy.Message message = new DeliveryPolicy.Message(id, messageClass, tenant, key, left, destination);
         return () -> {
-            OptionalDouble away = relay(instance).admissionRetryAfter(now, message);
+            OptionalDouble away = policy(instance).admissionRetryAfter(now, message);
             if (away.isPresent()) {
                 action("BOUNCE", instance, id, away.getAsDouble());
             } else {
-                relay(instance).messageAccepted(now, message);
+                policy(instance).messageAccepted(now, message);
             }
         };
     }
@@ -201,7 +201,7 @@
         double wait = outcome == DeliveryPolicy.Outcome.FULL ? note : 0;
         DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, messageEnded, wait,
                 false);
-        return () -> relay(instance).attemptEnded(now, end);
+        return () -> policy(instance).attemptEnded(now, end);
     }
 
     private static DeliveryPolicy.Outcome outcome(String code) throws InvalidInputException {
--- a/src/test/java/starlingvalve/ColdFleetTest.java
+++ b/src/test/java/starlingvalve/ColdFleetTest.java
@@ -134,10 +134,10 @@
             for (double now = 0; now < ENDS_AT; now += TICK) {
                 for (int i = 0; i < play.senders; i++) {
                     PolicyHarness b = senders.get(i);
-                    b.until(now + TICK);
+                    b.advanceTo(now + TICK);
                     while (next[i] <= now) {
                         // Every other message lives short.
-                        b.take(takenAt.size(), takenAt.size() % 2 == 0 ? 0 : 4, 1);
+                        b.submit(takenAt.size(), takenAt.size() % 2 == 0 ? 0 : 4, 1);
                         takenAt.add(now);
                         next[i] += gap(i);
                     }
--- a/src/test/java/starlingvalve/ConfirmedEndTest.java
+++ b/src/test/java/starlingvalve/ConfirmedEndTest.java
@@ -13,9 +13,9 @@
     private static PolicyHarness twoOfOneKey() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
         for (long id = 1; id <= 2; id++) {
-            b.relay.messageAccepted(b.now, new DeliveryPolicy.Message(id, UNSAFE, 0, Optional.of("key"), 20_000, 1));
+            b.policy.messageAccepted(b.now, new DeliveryPolicy.Message(id, UNSAFE, 0, Optional.of("key"), 20_000, 1));
         }
-        b.relay.endTurn(b.now);
+        b.policy.endTurn(b.now);
         assertEquals(List.of(1L), b.sent());
         return b;
     }
@@ -23,14 +23,14 @@
     @Test
     void theNextOfItsKeyWaitsUntilTheNoticeIsHeard() {
         PolicyHarness b = twoOfOneKey();
-        b.relay.endConfirmationPending(b.now, 1);
-        b.relay.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.DELIVERED, 10, true, 0, false));
-        b.relay.endTurn(b.now);
-        b.until(b.now + 3000);
+        b.policy.endConfirmationPending(b.now, 1);
+        b.policy.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.DELIVERED, 10, true, 0, false));
+        b.policy.endTurn(b.now);
+        b.advanceTo(b.now + 3000);
         assertEquals(List.of(1L), b.sent(), "its end is not heard yet");
-        b.relay.endAcknowledged(b.now, 1);
-        b.relay.endTurn(b.now);
-        b.until(b.now + 3000);
+        b.policy.endAcknowledged(b.now, 1);
+        b.policy.endTurn(b.now);
+        b.advanceTo(b.now + 3000);
         assertEquals(List.of(1L, 2L), b.sent());
         assertEquals(List.of(), b.answers, "an answer has ended it");
     }
@@ -38,18 +38,18 @@
     @Test
     void whatHasLeftItsCallIsNotSentAgain() {
         PolicyHarness b = twoOfOneKey();
-        b.relay.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.NOT_SENT, 10, false, 0, true));
-        b.relay.endConfirmationPending(b.now, 1);
-        b.relay.endTurn(b.now);
-        b.until(b.now + 3000);
+        b.policy.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.NOT_SENT, 10, false, 0, true));
+        b.policy.endConfirmationPending(b.now, 1);
+        b.policy.endTurn(b.now);
+        b.advanceTo(b.now + 3000);
         assertEquals(List.of(1L), b.sent());
-        b.relay.callEnded(b.now, 1);
-        b.relay.endTurn(b.now);
-        b.until(b.now + 3000);
+        b.policy.callEnded(b.now, 1);
+        b.policy.endTurn(b.now);
+        b.advanceTo(b.now + 3000);
         assertEquals(List.of(1L), b.sent(), "its notice is still to be heard");
-        b.relay.endAcknowledged(b.now, 1);
-        b.relay.endTurn(b.now);
-        b.until(b.now + 3000);
+        b.policy.endAcknowledged(b.now, 1);
+        b.policy.endTurn(b.now);
+        b.advanceTo(b.now + 3000);
         assertEquals(List.of(1L, 2L), b.sent());
         assertEquals(List.of(), b.answers);
     }
@@ -57,10 +57,10 @@
     @Test
     void aMessageThatIsNotKnownIsPassedOver() {
         PolicyHarness b = twoOfOneKey();
-        b.relay.endConfirmationPending(b.now, 7);
-        b.relay.messageWithdrawn(b.now, 1);
-        b.relay.endConfirmationPending(b.now, 1);
-        b.relay.endTurn(b.now);
+        b.policy.endConfirmationPending(b.now, 7);
+        b.policy.messageWithdrawn(b.now, 1);
+        b.policy.endConfirmationPending(b.now, 1);
+        b.policy.endTurn(b.now);
         assertEquals(List.of(1L), b.sent());
     }
 }
--- a/src/test/java/starlingvalve/DeliverySchedulerTest.java
+++ b/src/test/java/starlingvalve/DeliverySchedulerTest.java
@@ -24,16 +24,16 @@
     /** Bytes allocated stand for work here: they hang on no clock, and a look at each message takes some. */
     private static long bytesOfATurnWith(int waiting) {
         PolicyHarness b = new PolicyHarness().list(1, 10).list(2, 20);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 9000);
         for (int id = 2; id < waiting; id++) {
-            b.take(id, SAFE, 1);
+            b.submit(id, SAFE, 1);
         }
         assertEquals(1, b.sends.size(), "all wait");
         var thread = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        b.relay.endTurn(b.now);
+        b.policy.endTurn(b.now);
         long before = thread.getCurrentThreadAllocatedBytes();
-        b.relay.endTurn(b.now);
+        b.policy.endTurn(b.now);
         return thread.getCurrentThreadAllocatedBytes() - before;
     }
 
@@ -50,22 +50,22 @@
     @Test
     void aWakeThatComesAMomentEarlyIsAskedForAgain() {
         PolicyHarness b = new PolicyHarness();
-        b.take(1, SAFE, 1);
-        b.until(15_990);
+        b.submit(1, SAFE, 1);
+        b.advanceTo(15_990);
         int asked = b.wakes.size();
         b.now = b.wakes.get(asked - 1) - 0.0004;
-        b.relay.wake(b.now);
-        b.relay.endTurn(b.now);
+        b.policy.wake(b.now);
+        b.policy.endTurn(b.now);
         assertEquals(asked + 1, b.wakes.size());
     }
 
     @Test
     void aCopyJoinsAtHalfTheAimOnAnotherEndpoint() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.until(990);
+        b.submit(1, SAFE, 1);
+        b.advanceTo(990);
         assertEquals(1, b.sends.size());
-        b.until(1010);
+        b.advanceTo(1010);
         assertEquals(2, b.sends.size());
         assertFalse(b.sends.get(0).endpoint() == b.sends.get(1).endpoint());
     }
@@ -73,20 +73,20 @@
     @Test
     void aCopyGoesToTheOnlyEndpointWhereThereIsNoOther() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
-        b.until(1010);
+        b.submit(1, SAFE, 1);
+        b.advanceTo(1010);
         assertEquals(2, b.sends.size());
     }
 
     @Test
     void theFirstDeliveryCancelsTheRest() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.until(1010);
+        b.submit(1, SAFE, 1);
+        b.advanceTo(1010);
         b.end(1, 1, Outcome.DELIVERED);
         assertEquals(List.of("1/0"), b.cancels);
         b.end(1, 0, Outcome.CANCELLED);
-        b.until(20_000);
+        b.advanceTo(20_000);
         assertEquals(2, b.sends.size());
         assertTrue(b.answers.isEmpty());
     }
@@ -94,13 +94,13 @@
     @Test
     void noNewWaveWhileAnAttemptIsOut() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
-        b.until(1010);
+        b.submit(1, SAFE, 1);
+        b.advanceTo(1010);
         b.end(1, 0, Outcome.ERROR);
-        b.until(1900);
+        b.advanceTo(1900);
         assertEquals(2, b.sends.size());
         b.end(1, 1, Outcome.ERROR);
-        b.until(2600);
+        b.advanceTo(2600);
         assertEquals(3, b.sends.size());
     }
 
@@ -111,9 +111,9 @@
             b.list(i, 10 + 2 * i, 11 + 2 * i);
         }
         for (int i = 0; i < 5; i++) {
-            b.take(i, SAFE, i);
+            b.submit(i, SAFE, i);
         }
-        b.until(1900);
+        b.advanceTo(1900);
         assertEquals(6, b.sends.size(), "five first sends allow 1.5 copies, so one");
     }
 
@@ -122,17 +122,17 @@
         PolicyHarness b = new PolicyHarness(2);
         b.list(1, 10, 11);
         b.list(2, 20);
-        b.take(1, SAFE, 1);
-        b.take(2, SAFE, 2);
-        b.until(1900);
+        b.submit(1, SAFE, 1);
+        b.submit(2, SAFE, 2);
+        b.advanceTo(1900);
         assertEquals(2, b.sends.size());
     }
 
     @Test
     void anUnsafeMessageDoesNotRace() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1);
-        b.until(5000);
+        b.submit(1, UNSAFE, 1);
+        b.advanceTo(5000);
         assertEquals(1, b.sends.size());
     }
 
@@ -140,8 +140,8 @@
     void quickErrorsDoNotBurnAllAttempts() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.ERROR, 10);
-        b.take(1, SAFE, 1);
-        b.until(1000);
+        b.submit(1, SAFE, 1);
+        b.advanceTo(1000);
         assertTrue(b.sends.size() >= 2 && b.sends.size() <= 5, "sends " + b.sends.size());
     }
 
@@ -150,15 +150,15 @@
     @Test
     void everyMessageIsAnsweredOnceBeforeItsTimeIsUp() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 9);
-        b.take(2, UNSAFE, 1);
-        b.until(15_990);
+        b.submit(1, SAFE, 9);
+        b.submit(2, UNSAFE, 1);
+        b.advanceTo(15_990);
         assertTrue(b.answers.isEmpty());
-        b.until(16_020);
+        b.advanceTo(16_020);
         assertEquals(List.of("refuse 1"), b.answers, "nothing ran; the other is still out");
         b.end(2, 0, Outcome.TIMED_OUT);
         assertEquals(List.of("refuse 1", "fail 2"), b.answers);
-        b.until(40_000);
+        b.advanceTo(40_000);
         assertEquals(2, b.answers.size());
         assertEquals(1, b.sends.size());
     }
@@ -166,26 +166,26 @@
     @Test
     void anUnsafeMessageGoesAgainOnlyWithProofThatItNeverRan() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1);
+        b.submit(1, UNSAFE, 1);
         b.end(1, 0, Outcome.UNREACHABLE);
-        b.until(1000);
+        b.advanceTo(1000);
         assertEquals(2, b.sends.size());
         b.end(1, 1, Outcome.ERROR);
         assertEquals(List.of("fail 1"), b.answers);
-        b.until(20_000);
+        b.advanceTo(20_000);
         assertEquals(2, b.sends.size());
     }
 
     @Test
     void aKeyedMessageIsNotRepeatedOutsideItsWindow() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, KEYED, 1);
-        b.until(4000);
+        b.submit(1, KEYED, 1);
+        b.advanceTo(4000);
         int sent = b.sends.size();
         for (int i = 0; i < sent; i++) {
             b.end(1, i, Outcome.TIMED_OUT);
         }
-        b.until(16_100);
+        b.advanceTo(16_100);
         assertEquals(sent, b.sends.size());
         assertEquals(1, b.answers.size());
     }
@@ -194,11 +194,11 @@
     void aKeyedMessageStaysInTheZoneThatMayHaveRunIt() {
         PolicyHarness b = new PolicyHarness();
         b.entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
-        b.take(1, BY_ZONE, 1);
+        b.submit(1, BY_ZONE, 1);
         long first = b.sends.get(0).endpoint();
-        b.until(1010);
+        b.advanceTo(1010);
         b.end(1, 0, Outcome.TIMED_OUT);
-        b.until(3000);
+        b.advanceTo(3000);
         assertTrue(b.sends.size() >= 2);
         assertTrue(b.sends.stream().allMatch(s -> s.endpoint() == first));
     }
@@ -206,37 +206,37 @@
     @Test
     void aFailureByZoneIsNeverARefusal() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, BY_ZONE, 1);
+        b.submit(1, BY_ZONE, 1);
         b.onSend = s -> b.endLater(s, Outcome.ERROR, 5);
         b.end(1, 0, Outcome.ERROR);
-        b.until(16_100);
+        b.advanceTo(16_100);
         assertEquals(List.of("fail 1"), b.answers);
     }
 
     @Test
     void nothingNewGoesToADrainingOrGoneEndpoint() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.ERROR);
         b.entry(10, 1, 0, 0, false);
-        b.until(5000);
+        b.advanceTo(5000);
         assertEquals(1, b.sends.size());
-        b.relay.endpoints(b.now, true, List.of());
-        b.take(2, SAFE, 1);
-        b.until(6000);
+        b.policy.endpoints(b.now, true, List.of());
+        b.submit(2, SAFE, 1);
+        b.advanceTo(6000);
         assertEquals(1, b.sends.size());
     }
 
     @Test
     void aToldWaitStopsEverySendThere() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 700);
-        b.take(2, UNSAFE, 1);
-        b.take(3, KEYED, 1);
-        b.until(700);
+        b.submit(2, UNSAFE, 1);
+        b.submit(3, KEYED, 1);
+        b.advanceTo(700);
         assertEquals(1, b.sends.size());
-        b.until(4000);
+        b.advanceTo(4000);
         assertTrue(b.sends.size() > 1);
     }
 
@@ -244,19 +244,19 @@
     @Test
     void eachMessageOfACallMayBeToldItsOwnWait() {
         PolicyHarness b = new PolicyHarness().entry(10, 1, 1, 0, true);
-        b.takeTogether(2, SAFE, 1);
+        b.submitTogether(2, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 0);
         b.end(2, 0, Outcome.FULL, 3000);
-        b.until(3000);
+        b.advanceTo(3000);
         assertEquals(2, b.sends.size());
     }
 
     @Test
     void aToldWaitBindsOneRouteWhereRoutesAreSeparate() {
         PolicyHarness b = new PolicyHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 5000);
-        b.until(900);
+        b.advanceTo(900);
         assertEquals(2, b.sends.size());
         assertFalse(b.sends.get(0).endpoint() == b.sends.get(1).endpoint());
     }
@@ -264,24 +264,24 @@
     @Test
     void messagesOfOneKeyGoOneAtATimeAsTakenAndRestAfterADoubtfulEnd() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1, "k");
-        b.take(2, UNSAFE, 1, "k");
-        b.take(3, UNSAFE, 1, "other");
+        b.submit(1, UNSAFE, 1, "k");
+        b.submit(2, UNSAFE, 1, "k");
+        b.submit(3, UNSAFE, 1, "other");
         assertEquals(List.of(1L, 3L), b.sent());
         b.end(1, 0, Outcome.TIMED_OUT);
-        b.until(490);
+        b.advanceTo(490);
         assertEquals(List.of(1L, 3L), b.sent());
-        b.until(600);
+        b.advanceTo(600);
         assertEquals(List.of(1L, 3L, 2L), b.sent());
     }
 
     @Test
     void aWithdrawnMessageWithAnOpenAttemptStillHoldsItsKey() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.take(1, UNSAFE, 1, "k");
-        b.take(2, UNSAFE, 1, "k");
-        b.relay.messageWithdrawn(b.now, 1);
-        b.until(300);
+        b.submit(1, UNSAFE, 1, "k");
+        b.submit(2, UNSAFE, 1, "k");
+        b.policy.messageWithdrawn(b.now, 1);
+        b.advanceTo(300);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 0, Outcome.DELIVERED);
         assertEquals(List.of(1L, 2L), b.sent());
@@ -292,14 +292,14 @@
     @Test
     void misuseThrowsAndLateEventsAreIgnored() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         assertThrows(IllegalArgumentException.class, () -> b.end(7, 0, Outcome.DELIVERED));
         assertThrows(IllegalArgumentException.class, () -> b.end(1, 3, Outcome.DELIVERED));
-        assertThrows(IllegalArgumentException.class, () -> b.take(1, SAFE, 1));
-        assertThrows(IllegalArgumentException.class, () -> b.take(2, 17, 1));
-        assertThrows(IllegalArgumentException.class, () -> b.relay.wake(b.now - 1));
-        b.relay.messageWithdrawn(b.now, 99);
-        b.relay.wake(b.now);
+        assertThrows(IllegalArgumentException.class, () -> b.submit(1, SAFE, 1));
+        assertThrows(IllegalArgumentException.class, () -> b.submit(2, 17, 1));
+        assertThrows(IllegalArgumentException.class, () -> b.policy.wake(b.now - 1));
+        b.policy.messageWithdrawn(b.now, 99);
+        b.policy.wake(b.now);
     }
 
     // ---- a random sequence against all rules ----
@@ -319,7 +319,7 @@
         RandomDay(int seed) {
             random = new Random(seed);
             b = new PolicyHarness(4 + seed % 5);
-            b.strict = true;
+            b.checksRules = true;
         }
 
         void run() {
@@ -335,8 +335,8 @@
             };
             for (long id = 0; id < 300; id++) {
                 int type = random.nextInt(4);
-                b.take(id, type, random.nextInt(4), "k" + random.nextInt(5));
-                b.until(b.now + random.nextInt(120));
+                b.submit(id, type, random.nextInt(4), "k" + random.nextInt(5));
+                b.advanceTo(b.now + random.nextInt(120));
                 if (random.nextInt(40) == 0) {
                     int d = random.nextInt(4);
                     b.entry(10 * d, d, d % 3, 0, random.nextBoolean());
@@ -345,8 +345,8 @@
                     b.withdraw(random.nextInt((int) id + 1));
                 }
             }
-            b.until(b.now + 40_000);
-            b.allAnswered();
+            b.advanceTo(b.now + 40_000);
+            b.assertAllAnswered();
         }
     }
 
@@ -355,33 +355,33 @@
     @Test
     void anEndpointThatIsLeftOutGetsNothingWhateverTheListSaysAndComesBackCold() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.relay.setMaintenance(b.now, 10, true);
-        b.relay.setMaintenance(b.now, 10, true);
+        b.policy.setMaintenance(b.now, 10, true);
+        b.policy.setMaintenance(b.now, 10, true);
         b.list(1, 10);
-        assertTrue(b.relay.isExcluded(10));
-        assertFalse(b.relay.isExcluded(11));
+        assertTrue(b.policy.isExcluded(10));
+        assertFalse(b.policy.isExcluded(11));
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 50);
-        b.takeEvery(50, SAFE, 1, 10_000);
+        b.submitEvery(50, SAFE, 1, 10_000);
         assertTrue(b.sends.stream().allMatch(s -> s.endpoint() == 11));
-        b.relay.setMaintenance(b.now, 10, false);
-        b.take(999, SAFE, 1);
+        b.policy.setMaintenance(b.now, 10, false);
+        b.submit(999, SAFE, 1);
         assertEquals(10, b.sends.get(b.sends.size() - 1).endpoint(), "one call back undoes two out");
-        b.takeEvery(50, SAFE, 1, 12_000);
+        b.submitEvery(50, SAFE, 1, 12_000);
         long early = b.sends.stream().filter(s -> s.endpoint() == 10).count();
         assertTrue(early >= 1 && early <= 15, "used, but as a cold one: " + early);
         int before = b.sends.size();
-        b.relay.setMaintenance(b.now, 10, false);
-        b.takeEvery(50, SAFE, 1, 24_000);
+        b.policy.setMaintenance(b.now, 10, false);
+        b.submitEvery(50, SAFE, 1, 24_000);
         assertTrue(b.sends.stream().skip(before).filter(s -> s.endpoint() == 10).count() > 40);
     }
 
     @Test
     void aCallThatWaitsForItsConnectionDoesNotStartOnceItsEndpointIsLeftOut() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
-        assertTrue(b.relay.mayBeginAttempt(b.now, 1, 0));
-        b.relay.setMaintenance(b.now, 10, true);
-        assertFalse(b.relay.mayBeginAttempt(b.now, 1, 0));
+        b.submit(1, SAFE, 1);
+        assertTrue(b.policy.mayBeginAttempt(b.now, 1, 0));
+        b.policy.setMaintenance(b.now, 10, true);
+        assertFalse(b.policy.mayBeginAttempt(b.now, 1, 0));
     }
 
     // ---- faults ----
@@ -394,7 +394,7 @@
                 throw new IllegalStateException("a fault of the test's");
             }
         };
-        assertThrows(IllegalStateException.class, () -> b.takeTogether(2, SAFE, 1));
+        assertThrows(IllegalStateException.class, () -> b.submitTogether(2, SAFE, 1));
         assertEquals(List.of(1L, 2L), b.sent());
     }
 
--- a/src/test/java/starlingvalve/ExampleTest.java
+++ b/src/test/java/starlingvalve/ExampleTest.java
@@ -19,13 +19,13 @@
                 new DeliveryPolicy.Settings(List.of(order), List.of(new DeliveryPolicy.Kind(false, 1)), false,
                         DeliveryPolicy.Decay.LINEAR, List.of(), 1, 10, 6, true, true, 0, 15_000,
                         new DeliveryPolicy.ColdStart(0.2, 10_000, 2, 1500));
-        DeliveryPolicy relay = DeliveryPolicy.create(settings, 42, new Printing());
-        relay.endpoints(0, true, List.of(new DeliveryPolicy.Endpoint(51, 7, 0, 0, true, 0)));
-        relay.messageAccepted(0, new DeliveryPolicy.Message(1, 0, 0, Optional.empty(), 16_000, 7));
-        relay.endTurn(0);
-        relay.attemptEnded(80,
+        DeliveryPolicy policy = DeliveryPolicy.create(settings, 42, new Printing());
+        policy.endpoints(0, true, List.of(new DeliveryPolicy.Endpoint(51, 7, 0, 0, true, 0)));
+        policy.messageAccepted(0, new DeliveryPolicy.Message(1, 0, 0, Optional.empty(), 16_000, 7));
+        policy.endTurn(0);
+        policy.attemptEnded(80,
                 new DeliveryPolicy.AttemptEnd(1, 0, DeliveryPolicy.Outcome.DELIVERED, 80, true, 0, false));
-        relay.endTurn(80);
+        policy.endTurn(80);
         assertEquals(List.of("send 1 to 51", "wake at 1000.0"), done.subList(0, 2));
     }
 
--- a/src/test/java/starlingvalve/FleetTest.java
+++ b/src/test/java/starlingvalve/FleetTest.java
@@ -32,14 +32,14 @@
     }
 
     /** All senders go on side by side; each takes a message so often, not all at the same moment. */
-    private void until(double end, double gap) {
+    private void advanceTo(double end, double gap) {
         while (now < end) {
             for (int i = 0; i < SENDERS; i++) {
                 PolicyHarness b = fleet.get(i);
-                b.until(now + TICK);
+                b.advanceTo(now + TICK);
                 double shifted = now + gap * i / SENDERS;
                 if (Math.floor((shifted + TICK) / gap) > Math.floor(shifted / gap)) {
-                    b.take((long) (shifted / gap), 0, 1);
+                    b.submit((long) (shifted / gap), 0, 1);
                 }
             }
             now += TICK;
@@ -75,9 +75,9 @@
         senders(0, 0, 10);
         UsedUpByRefusals limit = new UsedUpByRefusals(4);
         answers(limit::call);
-        until(20_000, 1000);
+        advanceTo(20_000, 1000);
         long before = delivered();
-        until(50_000, 1000);
+        advanceTo(50_000, 1000);
         long taken = delivered() - before;
         assertTrue(taken >= 0.4 * 4 * 30, "delivered in 30 s at four a second: " + taken);
     }
@@ -88,8 +88,8 @@
         senders(20, 0, 10);
         UsedUpByRefusals limit = new UsedUpByRefusals(20);
         answers(limit::call);
-        fleet.forEach(b -> b.takeTogether(10, 0, 1));
-        until(5000, 60_000);
+        fleet.forEach(b -> b.submitTogether(10, 0, 1));
+        advanceTo(5000, 60_000);
         long sent = sent();
         assertTrue(sent <= 20 * 5 * 1.5, "sent in the first 5 s at twenty a second: " + sent);
         assertTrue(delivered() >= 20 * 5 * 0.4, "delivered of them: " + delivered());
@@ -101,10 +101,10 @@
         senders(4, 0, 10);
         UsedUpByRefusals limit = new UsedUpByRefusals(4);
         answers(limit::call);
-        until(10_000, 2000);
+        advanceTo(10_000, 2000);
         long before = delivered();
         long sent = sent();
-        until(50_000, 2000);
+        advanceTo(50_000, 2000);
         long taken = delivered() - before;
         assertTrue(taken >= 0.45 * 4 * 40, "delivered in 40 s at four a second: " + taken);
         assertTrue(sent() - sent <= 1.2 * 4 * 40, "calls in 40 s at four a second: " + (sent() - sent));
@@ -122,7 +122,7 @@
         for (int i = 0; i < SENDERS; i++) {
             fleet.get(i).at(i * 70, takeOn(fleet.get(i), 0));
         }
-        until(90_000, Double.POSITIVE_INFINITY);
+        advanceTo(90_000, Double.POSITIVE_INFINITY);
         long dear = served(2);
         assertTrue(dear >= 0.7 * SENDERS * 60 / 4, "delivered of " + SENDERS * 60 / 4 + ": " + dear);
         assertTrue(served(4) >= 0.1 * SENDERS * 60, "delivered of " + SENDERS * 60 + ": " + served(4));
@@ -131,9 +131,9 @@
     /** For a minute a short-lived message a second, and one that is worth more and lives longer with each fourth. */
     private static Runnable takeOn(PolicyHarness b, int second) {
         return () -> {
-            b.take(second, 4, 1);
+            b.submit(second, 4, 1);
             if (second % 4 == 0) {
-                b.take(1000 + second, 2, 1);
+                b.submit(1000 + second, 2, 1);
             }
             if (second < 59) {
                 b.at(b.now + 1000, takeOn(b, second + 1));
@@ -148,11 +148,11 @@
         UsedUpByRefusals limit = new UsedUpByRefusals(7);
         answers(limit::call);
         PolicyHarness busy = fleet.get(0);
-        busy.take(1000, 0, 1);
-        busy.takeTogether(30, 0, 1);
+        busy.submit(1000, 0, 1);
+        busy.submitTogether(30, 0, 1);
         int atOnce = busy.answers.size();
         assertTrue(atOnce >= 12, "of 30 at a call in two seconds, within 16 s, sent away: " + atOnce);
-        until(17_000, Double.POSITIVE_INFINITY);
+        advanceTo(17_000, Double.POSITIVE_INFINITY);
         assertTrue(busy.delivered() >= 8, "delivered: " + busy.delivered());
         assertTrue(busy.answers.size() - atOnce <= 30 - atOnce - 8, "given up late: " + busy.answers.size());
     }
@@ -164,11 +164,11 @@
         UsedUpByRefusals limit = new UsedUpByRefusals(7);
         answers(limit::call);
         PolicyHarness busy = fleet.get(0);
-        until(1000, Double.POSITIVE_INFINITY);
+        advanceTo(1000, Double.POSITIVE_INFINITY);
         for (int message = 0; message < 30; message++) {
-            busy.take(message, MessageClasses.NEVER_LATE, 1);
+            busy.submit(message, MessageClasses.NEVER_LATE, 1);
             now = busy.now + 333;
-            busy.until(now);
+            busy.advanceTo(now);
         }
         assertTrue(busy.delivered() >= 20, "delivered of 30 in 10 s, where the even part is 5: " + busy.delivered());
     }
@@ -186,9 +186,9 @@
     void theFloorCountsTheCallsThatTheMessagesNeed() {
         senders(0, 1, 10);
         answers((b, s) -> b.endLater(s, calls(b) % 4 == 0 ? Outcome.DELIVERED : Outcome.FULL, 20));
-        until(10_000, 100);
+        advanceTo(10_000, 100);
         long before = fleet.stream().mapToLong(FleetTest::calls).sum();
-        until(20_000, 100);
+        advanceTo(20_000, 100);
         double perSecond = (fleet.stream().mapToLong(FleetTest::calls).sum() - before) / 10.0;
         assertTrue(perSecond <= 14, "calls a second, of which most are refused: " + perSecond);
     }
--- a/src/test/java/starlingvalve/HandoverMemoryTest.java
+++ b/src/test/java/starlingvalve/HandoverMemoryTest.java
@@ -44,14 +44,14 @@
 
     private static PolicyHarness withCopyOut() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, SAFE, 1);
-        old.until(1100);
+        old.submit(1, SAFE, 1);
+        old.advanceTo(1100);
         assertEquals(List.of(1L, 1L), old.sent(), "its copy is out");
         return old;
     }
 
     private static void isEndedInTime(PolicyHarness b, long message, double leftMs) {
-        b.until(b.now + leftMs + 300);
+        b.advanceTo(b.now + leftMs + 300);
         assertTrue(b.answers.contains("refuse " + message), "message " + message + " has no end: " + b.answers);
     }
 
@@ -59,7 +59,7 @@
     void whatWaitsBehindAMessageWhoseCopyHasEndedIsNotForgottenByTheNextProcess() {
         PolicyHarness old = withCopyOut();
         old.end(1, 1, Outcome.FULL);
-        old.take(2, SAFE, 2);
+        old.submit(2, SAFE, 2);
         isEndedInTime(successor(old), 2, 16_000);
     }
 
@@ -68,25 +68,25 @@
         PolicyHarness old = withCopyOut();
         old.end(1, 1, Outcome.NOT_SENT);
         PolicyHarness b = successor(old);
-        b.until(5000);
+        b.advanceTo(5000);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 10);
         b.end(1, 0, Outcome.TIMED_OUT);
-        b.until(b.now + 5000);
-        b.allAnswered();
+        b.advanceTo(b.now + 5000);
+        b.assertAllAnswered();
     }
 
     @Test
     void whatWaitsBehindAMessageWhoseFirstAttemptHasEndedIsNotForgottenByTheNextProcess() {
         PolicyHarness old = withCopyOut();
         old.end(1, 0, Outcome.FULL);
-        old.take(2, SAFE, 2);
+        old.submit(2, SAFE, 2);
         isEndedInTime(successor(old), 2, 16_000);
     }
 
     @Test
     void whatWaitsBehindAMessageWithBothAttemptsOutIsNotForgottenByTheNextProcess() {
         PolicyHarness old = withCopyOut();
-        old.take(2, SAFE, 2);
+        old.submit(2, SAFE, 2);
         isEndedInTime(successor(old), 2, 16_000);
     }
 
@@ -94,27 +94,27 @@
     void whatWaitsBehindADeliveredMessageWhoseCopyIsStillOutIsNotForgottenByTheNextProcess() {
         PolicyHarness old = withCopyOut();
         old.end(1, 0, Outcome.DELIVERED);
-        old.take(2, SAFE, 2);
+        old.submit(2, SAFE, 2);
         isEndedInTime(successor(old), 2, 16_000);
     }
 
     @Test
     void whatWaitsForItsBackoffIsNotForgottenByTheNextProcess() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, SAFE, 1);
+        old.submit(1, SAFE, 1);
         old.end(1, 0, Outcome.FULL, 300);
         PolicyHarness b = successor(old);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 10);
-        b.until(16_300);
-        b.allAnswered();
+        b.advanceTo(16_300);
+        b.assertAllAnswered();
     }
 
     @Test
     void whatIsOverdueAtTheHandoverIsEndedByTheNextProcess() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, UNSAFE, 1);
-        old.until(16_010);
-        old.take(2, SAFE, 2);
+        old.submit(1, UNSAFE, 1);
+        old.advanceTo(16_010);
+        old.submit(2, SAFE, 2);
         PolicyHarness b = successor(old);
         b.end(1, 0, Outcome.NOT_SENT);
         assertEquals(List.of("refuse 1"), b.answers);
@@ -124,61 +124,61 @@
     @Test
     void whatTheOldProcessLeftInAnOpenCallIsEndedByTheNextProcess() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, KEYED, 1);
-        old.relay.attemptEnded(old.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.TIMED_OUT, 10, false, 0, true));
-        old.relay.endTurn(old.now);
+        old.submit(1, KEYED, 1);
+        old.policy.attemptEnded(old.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.TIMED_OUT, 10, false, 0, true));
+        old.policy.endTurn(old.now);
         PolicyHarness b = successor(old);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 10);
-        b.until(3000);
-        b.allAnswered();
-        b.relay.callEnded(b.now, 1);
+        b.advanceTo(3000);
+        b.assertAllAnswered();
+        b.policy.callEnded(b.now, 1);
     }
 
     @Test
     void aKeyInOrderGoesOnWhenItsEndedMessageWasInAnOpenCallAtTheHandover() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, UNSAFE, 1, "k");
-        old.relay.attemptEnded(old.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.TIMED_OUT, 10, false, 0, true));
-        old.relay.endTurn(old.now);
+        old.submit(1, UNSAFE, 1, "k");
+        old.policy.attemptEnded(old.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.TIMED_OUT, 10, false, 0, true));
+        old.policy.endTurn(old.now);
         assertEquals(List.of("fail 1"), old.answers);
-        old.take(2, UNSAFE, 1, "k");
+        old.submit(2, UNSAFE, 1, "k");
         assertEquals(List.of(1L), old.sent(), "the key waits for the open call");
         PolicyHarness b = successor(old);
-        b.until(2000);
+        b.advanceTo(2000);
         assertEquals(List.of(), b.sent(), "the key waits for the open call here too");
-        b.relay.callEnded(b.now, 1);
-        b.relay.endTurn(b.now);
-        b.until(3000);
+        b.policy.callEnded(b.now, 1);
+        b.policy.endTurn(b.now);
+        b.advanceTo(3000);
         assertEquals(List.of(2L), b.sent(), "the key goes on once the call is closed");
     }
 
     @Test
     void aKeyInOrderGoesOnWhenItsWithdrawnMessageWasOutAtTheHandover() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, UNSAFE, 1, "k");
+        old.submit(1, UNSAFE, 1, "k");
         old.withdraw(1);
-        old.take(2, UNSAFE, 1, "k");
+        old.submit(2, UNSAFE, 1, "k");
         assertEquals(List.of(1L), old.sent(), "the key waits for the attempt that is out");
         PolicyHarness b = successor(old);
-        b.until(1000);
+        b.advanceTo(1000);
         assertEquals(List.of(), b.sent(), "the key waits for the attempt here too");
         b.end(1, 0, Outcome.NOT_SENT);
-        b.until(2000);
+        b.advanceTo(2000);
         assertEquals(List.of(2L), b.sent(), "the key goes on once the attempt has ended");
     }
 
     @Test
     void aKeyInOrderIsNotStuckAfterAnEndedMessageOfItWasOutAtTheHandover() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, UNSAFE, 1, "k");
+        old.submit(1, UNSAFE, 1, "k");
         old.withdraw(1);
         PolicyHarness b = successor(old);
-        b.take(2, UNSAFE, 2, "k");
+        b.submit(2, UNSAFE, 2, "k");
         b.end(1, 0, Outcome.NOT_SENT);
-        b.until(17_000);
+        b.advanceTo(17_000);
         assertEquals(List.of("refuse 2"), b.answers);
-        b.take(3, UNSAFE, 1, "k");
-        b.until(18_000);
+        b.submit(3, UNSAFE, 1, "k");
+        b.advanceTo(18_000);
         assertEquals(List.of(3L), b.sent(), "nothing of its key is out or waits before it");
     }
 
@@ -187,24 +187,24 @@
     void aNewTryThatTheThrottleHoldsBackAtTheHandoverIsMadeByTheNextProcessOnceThereIsRoom() {
         PolicyHarness old = world(new PolicyHarness());
         for (long id = 1; id <= 2; id++) {
-            old.take(id, SAFE, 1);
+            old.submit(id, SAFE, 1);
         }
         old.onSend = s -> old.endLater(s, Outcome.FULL, 10);
         old.end(1, 0, Outcome.FULL);
         old.end(2, 0, Outcome.FULL);
-        old.until(3000);
+        old.advanceTo(3000);
         PolicyHarness b = successor(old);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 10);
-        b.until(12_900);
+        b.advanceTo(12_900);
         assertFalse(b.sends.isEmpty(), "the period is over after 10 s, and there are 3 s left");
     }
 
     @Test
     void aMessageWhoseEndFailsDoesNotKeepThoseAtItsSideFromTheirs() {
         PolicyHarness b = world(new PolicyHarness());
-        b.unanswerable = 1;
-        b.take(1, SAFE, 2);
-        b.take(2, SAFE, 2);
+        b.failsToAnswer = 1;
+        b.submit(1, SAFE, 2);
+        b.submit(2, SAFE, 2);
         untilPastFaults(b, 16_300);
         assertEquals(List.of("refuse 2"), b.answers);
     }
@@ -212,22 +212,22 @@
     @Test
     void aMessageWhoseEndFailsInTheNextProcessDoesNotKeepThoseBehindItFromTheirs() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, SAFE, 2);
-        old.until(16_000);
-        old.take(2, SAFE, 2);
+        old.submit(1, SAFE, 2);
+        old.advanceTo(16_000);
+        old.submit(2, SAFE, 2);
         old.answers.clear();
-        DeliveryPolicy.Snapshot snapshot = passed(old.relay.snapshot(old.now));
+        DeliveryPolicy.Snapshot snapshot = passed(old.policy.snapshot(old.now));
         DeliveryPolicy.MessageSnapshot second = snapshot.messages().get(snapshot.messages().size() - 1);
         DeliveryPolicy.MessageSnapshot overdue =
                 new DeliveryPolicy.MessageSnapshot(new DeliveryPolicy.Message(1, SAFE, 0, second.message().key(), -10,
                         2), 0, 0, false, false, false, 0, List.of());
         PolicyHarness b = world(new PolicyHarness());
-        b.unanswerable = 1;
+        b.failsToAnswer = 1;
         try {
             b.takeOver(old, 0, m -> new DeliveryPolicy.Snapshot(m.endpoints(), List.of(overdue, second), m.keyRests(),
                     m.firstSends(), m.copies(), m.retries()));
         } catch (IllegalStateException fault) {
-            b.at(b.now, () -> b.relay.endTurn(b.now));
+            b.at(b.now, () -> b.policy.endTurn(b.now));
         }
         untilPastFaults(b, 16_300);
         assertEquals(List.of("refuse 2"), b.answers);
@@ -236,36 +236,36 @@
     @Test
     void aMessageThatCanNotBeRememberedIsNotOpenInTheNextProcess() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, SAFE, 2);
-        old.until(15_990);
+        old.submit(1, SAFE, 2);
+        old.advanceTo(15_990);
         PolicyHarness b = world(new PolicyHarness());
-        b.until(100);
-        b.unanswerable = 1;
+        b.advanceTo(100);
+        b.failsToAnswer = 1;
         try {
             b.takeOver(old, 50, HandoverMemoryTest::passed);
         } catch (IllegalStateException fault) {
             // It is overdue, and its end fails.
         }
-        assertEquals(Set.of(), b.relay.openMessages(), "it would count as looked after");
+        assertEquals(Set.of(), b.policy.openMessages(), "it would count as looked after");
     }
 
     @Test
     void whatWaitsAndWouldRunOutOfTimeInTheHandoverIsAnsweredBeforeIt() {
         PolicyHarness old = world(new PolicyHarness());
-        old.take(1, SAFE, 2);
-        old.until(1000);
-        old.take(2, SAFE, 2);
-        old.until(15_500);
-        old.relay.handoverStarting(old.now, 1000);
+        old.submit(1, SAFE, 2);
+        old.advanceTo(1000);
+        old.submit(2, SAFE, 2);
+        old.advanceTo(15_500);
+        old.policy.handoverStarting(old.now, 1000);
         assertEquals(List.of("refuse 1"), old.answers);
-        assertEquals(Set.of(2L), old.relay.openMessages());
+        assertEquals(Set.of(2L), old.policy.openMessages());
     }
 
     /** As the sender does: what the module throws ends its turn, and is noted. */
     private static void untilPastFaults(PolicyHarness b, double end) {
         while (b.now < end - 10) {
             try {
-                b.until(end);
+                b.advanceTo(end);
             } catch (IllegalStateException fault) {
                 // The next turn is asked for by the module alone.
             }
@@ -291,12 +291,12 @@
         old.onSend = s -> endAtRandom(old, s, random);
         double end = 500 + random.nextInt(6000);
         for (long id = 1; old.now < end; id++) {
-            old.take(id, random.nextInt(4), random.nextInt(8) == 0 ? 2 : 1, "key " + random.nextInt(6));
-            old.until(old.now + 20 + random.nextInt(300));
+            old.submit(id, random.nextInt(4), random.nextInt(8) == 0 ? 2 : 1, "key " + random.nextInt(6));
+            old.advanceTo(old.now + 20 + random.nextInt(300));
         }
         PolicyHarness b = world(new PolicyHarness());
         b.onSend = s -> endAtRandom(b, s, random);
-        DeliveryPolicy.Snapshot snapshot = passed(old.relay.snapshot(old.now));
+        DeliveryPolicy.Snapshot snapshot = passed(old.policy.snapshot(old.now));
         b.takeOver(old, 0, m -> snapshot);
         for (DeliveryPolicy.MessageSnapshot m : snapshot.messages()) {
             for (int i = 0; i < m.attempts().size(); i++) {
@@ -306,9 +306,9 @@
                 }
             }
         }
-        b.until(16_300);
+        b.advanceTo(16_300);
         for (DeliveryPolicy.MessageSnapshot m : snapshot.messages()) {
-            assertTrue(m.ended() || b.isOver(m.message().id()), "message " + m.message().id() + " has no end");
+            assertTrue(m.ended() || b.hasEnded(m.message().id()), "message " + m.message().id() + " has no end");
         }
     }
 
--- a/src/test/java/starlingvalve/ListLeaseGateTest.java
+++ b/src/test/java/starlingvalve/ListLeaseGateTest.java
@@ -15,42 +15,42 @@
     @Test
     void nothingIsSentUntilCallsMayGoOutAndThenByTheListOfThen() {
         bench.mayStartCalls = false;
-        bench.take(1, SAFE, 1);
+        bench.submit(1, SAFE, 1);
         assertEquals(List.of(), bench.sends);
-        assertEquals(1, bench.heldBack);
+        assertEquals(1, bench.callsHeldBack);
         bench.entry(10, 1, 0, 0, false);
         bench.mayStartCalls = true;
-        bench.relay.endTurn(bench.now);
+        bench.policy.endTurn(bench.now);
         assertEquals(List.of(11L), bench.sends.stream().map(PolicyHarness.Sent::endpoint).toList());
     }
 
     @Test
     void nobodyIsAskedWhereNothingWaits() {
         bench.mayStartCalls = false;
-        bench.relay.endTurn(bench.now);
-        assertEquals(0, bench.heldBack);
+        bench.policy.endTurn(bench.now);
+        assertEquals(0, bench.callsHeldBack);
     }
 
     /** A message whose time is up is answered all the same. */
     @Test
     void finalAnswersDoNotWait() {
         bench.mayStartCalls = false;
-        bench.take(1, SAFE, 1);
-        bench.until(bench.now + MessageClasses.CLASSES.get(SAFE).deadlineMs());
+        bench.submit(1, SAFE, 1);
+        bench.advanceTo(bench.now + MessageClasses.CLASSES.get(SAFE).deadlineMs());
         assertEquals(1, bench.answers.size());
         assertEquals(List.of(), bench.sends);
     }
 
     @Test
     void aCopyThatIsDueIsSentOnceCallsMayGoOut() {
-        bench.take(1, SAFE, 1);
+        bench.submit(1, SAFE, 1);
         bench.mayStartCalls = false;
         double due = bench.now + MessageClasses.CLASSES.get(SAFE).latencyTargetMs() / 2;
-        bench.until(due + 50);
+        bench.advanceTo(due + 50);
         assertEquals(1, bench.sends.size());
-        assertTrue(bench.heldBack > 0);
+        assertTrue(bench.callsHeldBack > 0);
         bench.mayStartCalls = true;
-        bench.until(due + 100);
+        bench.advanceTo(due + 100);
         assertEquals(2, bench.sends.size());
     }
 }
--- a/src/test/java/starlingvalve/ModuleRestartTest.java
+++ b/src/test/java/starlingvalve/ModuleRestartTest.java
@@ -19,8 +19,8 @@
 
     private static PolicyHarness recovered(int type, double leftMs, DeliveryPolicy.EarlierAttempt... earlier) {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.until(20_000);
-        b.resume(1, type, 1, leftMs, List.of(earlier));
+        b.advanceTo(20_000);
+        b.recover(1, type, 1, leftMs, List.of(earlier));
         return b;
     }
 
@@ -35,7 +35,7 @@
         b.end(1, 2, Outcome.DELIVERED);
         assertTrue(b.answers.isEmpty());
         for (long id = 2; id <= 6; id++) {
-            b.take(id, SAFE, 1);
+            b.submit(id, SAFE, 1);
         }
         assertTrue(b.sends.size() >= 5, "no slot is lost to what was out at the death");
     }
@@ -52,37 +52,37 @@
     @Test
     void aKeyedMessageIsAnsweredWhenItsWindowHasPassed() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, KEYED, 1);
+        b.submit(1, KEYED, 1);
         b.end(1, 0, Outcome.ERROR);
         b.entry(10, 1, 0, 0, false);
-        b.until(3650);
+        b.advanceTo(3650);
         assertTrue(b.answers.isEmpty());
-        b.until(3750);
+        b.advanceTo(3750);
         assertEquals(List.of("refuse 1"), b.answers, "not only at its deadline");
     }
 
     @Test
     void aBacklogFromAnOutageBeforeTheRestartStartsWithTrials() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.until(20_000);
+        b.advanceTo(20_000);
         for (long id = 1; id <= 12; id++) {
-            b.resumeInTurn(id, SAFE, 1, 9000, List.of(earlier(1000, false)));
+            b.recoverInTurn(id, SAFE, 1, 9000, List.of(earlier(1000, false)));
         }
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 100);
-        b.relay.endTurn(b.now);
-        b.until(23_000);
+        b.policy.endTurn(b.now);
+        b.advanceTo(23_000);
         assertTrue(b.sends.size() >= 1 && b.sends.size() <= 4, "sent in 3 s: " + b.sends.size());
-        b.until(29_100);
-        b.allAnswered();
+        b.advanceTo(29_100);
+        b.assertAllAnswered();
     }
 
     /** What was taken with no time left was answered at once all the same, as if it had been wanted. */
     @Test
     void whatHasNoTimeToBeSentIsNotTaken() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        assertTrue(b.relay.admissionRetryAfter(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 1, 1))
+        assertTrue(b.policy.admissionRetryAfter(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 1, 1))
                 .isPresent());
-        assertFalse(b.relay.admissionRetryAfter(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 9, 1))
+        assertFalse(b.policy.admissionRetryAfter(b.now, new DeliveryPolicy.Message(1, SAFE, 0, Optional.of("k"), 9, 1))
                 .isPresent());
     }
 
@@ -92,17 +92,17 @@
         PolicyHarness b = new PolicyHarness(40, 100, 7);
         b.listedRate = 10;
         b.list(1, 10);
-        b.until(20_000);
+        b.advanceTo(20_000);
         for (long id = 1; id <= 8; id++) {
-            b.resumeInTurn(id, SAFE, 1, 4000, List.of());
+            b.recoverInTurn(id, SAFE, 1, 4000, List.of());
         }
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 50);
-        b.relay.endTurn(b.now);
+        b.policy.endTurn(b.now);
         assertTrue(b.sends.size() <= 2, "at once: " + b.sends.size());
-        b.until(22_100);
+        b.advanceTo(22_100);
         assertEquals(8, b.sends.size(), "at a call in ten seconds they would all have died here");
-        b.take(9, SAFE, 1);
-        b.until(23_000);
+        b.submit(9, SAFE, 1);
+        b.advanceTo(23_000);
         assertEquals(8, b.sends.size(), "what is new keeps the pace");
     }
 
@@ -111,21 +111,21 @@
         PolicyHarness b = new PolicyHarness(40, 100, 7);
         b.listedRate = 10;
         b.list(1, 10);
-        b.until(20_000);
+        b.advanceTo(20_000);
         for (long id = 1; id <= 3; id++) {
             DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, UNSAFE, 0, Optional.of("key"), 6000, 1);
-            b.relay.messageRecovered(b.now, m, List.of());
+            b.policy.messageRecovered(b.now, m, List.of());
         }
-        b.relay.endTurn(b.now);
-        b.relay.retryAfterReceived(b.now, 10, 1500);
-        b.until(21_490);
+        b.policy.endTurn(b.now);
+        b.policy.retryAfterReceived(b.now, 10, 1500);
+        b.advanceTo(21_490);
         List<Long> before = b.sent();
         assertTrue(before.size() <= 1, "the wait is heeded: " + before);
-        b.until(24_000);
+        b.advanceTo(24_000);
         assertEquals(List.of(1L), b.sent(), "one at a time");
-        b.relay.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.DELIVERED, 10, true, 0, false));
-        b.relay.endTurn(b.now);
-        b.until(24_300);
+        b.policy.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.DELIVERED, 10, true, 0, false));
+        b.policy.endTurn(b.now);
+        b.advanceTo(24_300);
         assertEquals(List.of(1L, 2L), b.sent(), "the next once it may");
     }
 
@@ -133,28 +133,28 @@
     @Test
     void aFewWithTroubleAmongManyUntriedAreNoOutage() {
         PolicyHarness b = new PolicyHarness(40, 100, 7).list(1, 10);
-        b.until(20_000);
+        b.advanceTo(20_000);
         for (long id = 1; id <= 11; id++) {
-            b.resumeInTurn(id, SAFE, 1, 9000, id <= 4 ? List.of(earlier(1000, false)) : List.of());
+            b.recoverInTurn(id, SAFE, 1, 9000, id <= 4 ? List.of(earlier(1000, false)) : List.of());
         }
-        b.relay.endTurn(b.now);
-        assertFalse(b.relay.isExcluded(10));
+        b.policy.endTurn(b.now);
+        assertFalse(b.policy.isExcluded(10));
     }
 
     @Test
     void whatWasRefusedWaitsForADestinationThatIsNotListedYet() {
         for (int type : List.of(SAFE, KEYED, UNSAFE)) {
             PolicyHarness b = new PolicyHarness();
-            b.until(20_000);
-            b.resume(1, type, 1, 9000, List.of(earlier(1000, false)));
+            b.advanceTo(20_000);
+            b.recover(1, type, 1, 9000, List.of(earlier(1000, false)));
             assertEquals(List.of(), b.answers, "it surely has not run, and has time");
             b.list(1, 10);
-            b.until(20_400);
+            b.advanceTo(20_400);
             assertEquals(List.of(1L), b.sent());
         }
         PolicyHarness b = new PolicyHarness();
-        b.until(20_000);
-        b.resume(1, UNSAFE, 1, 9000, List.of(earlier(1000, true)));
+        b.advanceTo(20_000);
+        b.recover(1, UNSAFE, 1, 9000, List.of(earlier(1000, true)));
         assertEquals(List.of("fail 1"), b.answers, "no list makes it repeatable");
     }
 
@@ -162,44 +162,44 @@
     void oneRefusalAndMessagesThatTheRestartMadeLateAreNoOutage() {
         PolicyHarness b = new PolicyHarness(40).list(1, 10);
         b.now = 20_000;
-        b.resumeInTurn(1, SAFE, 1, 9000, List.of(earlier(1000, false)));
+        b.recoverInTurn(1, SAFE, 1, 9000, List.of(earlier(1000, false)));
         for (int id = 2; id <= 8; id++) {
-            b.resumeInTurn(id, SAFE, 1, 9000, id % 2 == 0 ? List.of() : List.of(earlier(1000, true)));
+            b.recoverInTurn(id, SAFE, 1, 9000, id % 2 == 0 ? List.of() : List.of(earlier(1000, true)));
         }
-        b.relay.endTurn(b.now);
+        b.policy.endTurn(b.now);
         assertEquals(8, b.sends.size());
     }
 
     @Test
     void callsThatWereOutAtTheRestartAreNoBacklogInTrouble() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.until(20_000);
+        b.advanceTo(20_000);
         for (long id = 1; id <= 4; id++) {
-            b.resumeInTurn(id, SAFE, 1, 15_000, List.of(earlier(1000, true)));
+            b.recoverInTurn(id, SAFE, 1, 15_000, List.of(earlier(1000, true)));
         }
-        b.relay.endTurn(b.now);
+        b.policy.endTurn(b.now);
         assertEquals(List.of(1L, 2L, 3L, 4L), b.sent());
     }
 
     @Test
     void aRefusalTellsWhenTheDestinationOpensAgain() {
         PolicyHarness b = new PolicyHarness().list(1, 10).list(2, 20);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 5000);
-        b.resume(2, SAFE, 1, -1, List.of());
-        b.resume(3, SAFE, 2, -1, List.of());
+        b.recover(2, SAFE, 1, -1, List.of());
+        b.recover(3, SAFE, 2, -1, List.of());
         assertEquals(List.of("refuse 2", "refuse 3"), b.answers);
-        assertTrue(b.waits.get(0) >= 5000, "the told wait at least");
-        assertEquals(0, b.waits.get(1));
+        assertTrue(b.retryAfters.get(0) >= 5000, "the told wait at least");
+        assertEquals(0, b.retryAfters.get(1));
     }
 
     @Test
     void aZonesRepeatsStayInTheZoneAcrossLives() {
         PolicyHarness b = new PolicyHarness().entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
-        b.until(20_000);
-        b.resume(1, BY_ZONE, 1, 9000, List.of(new DeliveryPolicy.EarlierAttempt(11, 19_900, true)));
+        b.advanceTo(20_000);
+        b.recover(1, BY_ZONE, 1, 9000, List.of(new DeliveryPolicy.EarlierAttempt(11, 19_900, true)));
         assertEquals(11, b.sends.get(0).endpoint());
-        b.resume(2, BY_ZONE, 1, 9000, List.of(new DeliveryPolicy.EarlierAttempt(99, 19_900, true)));
+        b.recover(2, BY_ZONE, 1, 9000, List.of(new DeliveryPolicy.EarlierAttempt(99, 19_900, true)));
         assertEquals(List.of("fail 2"), b.answers, "an endpoint that has left is of no known zone");
     }
 
@@ -230,92 +230,92 @@
     @Test
     void anAttemptThatStillWaitsForItsConnectionHeedsAWaitToldMeanwhile() {
         PolicyHarness b = new PolicyHarness().list(1, 10).entry(20, 2, 0, 0, true);
-        b.take(1, SAFE, 1);
-        b.take(2, SAFE, 1);
-        b.take(3, SAFE, 2);
+        b.submit(1, SAFE, 1);
+        b.submit(2, SAFE, 1);
+        b.submit(3, SAFE, 2);
         assertEquals(3, b.sends.size());
-        assertTrue(b.relay.mayBeginAttempt(b.now, 2, 0));
+        assertTrue(b.policy.mayBeginAttempt(b.now, 2, 0));
         b.end(1, 0, Outcome.FULL, 700);
-        assertFalse(b.relay.mayBeginAttempt(b.now, 2, 0));
-        assertTrue(b.relay.mayBeginAttempt(b.now, 3, 0));
-        b.until(750);
-        assertTrue(b.relay.mayBeginAttempt(b.now, 2, 0));
+        assertFalse(b.policy.mayBeginAttempt(b.now, 2, 0));
+        assertTrue(b.policy.mayBeginAttempt(b.now, 3, 0));
+        b.advanceTo(750);
+        assertTrue(b.policy.mayBeginAttempt(b.now, 2, 0));
         b.entry(20, 2, 0, 0, false);
-        assertFalse(b.relay.mayBeginAttempt(b.now, 3, 0), "it drains");
+        assertFalse(b.policy.mayBeginAttempt(b.now, 3, 0), "it drains");
     }
 
     /** Decided inside its window, it waits for a connection that comes up late: it would run a second time. */
     @Test
     void aRepeatDoesNotStartOnceItsWindowHasPassed() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, KEYED, 1);
-        assertTrue(b.relay.mayBeginAttempt(b.now, 1, 0), "the first of them has no window");
-        b.until(100);
+        b.submit(1, KEYED, 1);
+        assertTrue(b.policy.mayBeginAttempt(b.now, 1, 0), "the first of them has no window");
+        b.advanceTo(100);
         b.end(1, 0, Outcome.BROKEN);
-        b.until(1000);
+        b.advanceTo(1000);
         assertEquals(2, b.sends.size());
-        assertTrue(b.relay.mayBeginAttempt(b.now, 1, 1));
-        b.until(MessageClasses.CLASSES.get(KEYED).dedupWindowMs() + 10);
-        assertFalse(b.relay.mayBeginAttempt(b.now, 1, 1), "what may have run is " + b.now + " ms old");
+        assertTrue(b.policy.mayBeginAttempt(b.now, 1, 1));
+        b.advanceTo(MessageClasses.CLASSES.get(KEYED).dedupWindowMs() + 10);
+        assertFalse(b.policy.mayBeginAttempt(b.now, 1, 1), "what may have run is " + b.now + " ms old");
     }
 
     @Test
     void aKeyInOrderWaitsUntilTheAnswerOfTheOneBeforeIsHeard() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.heardAtOnce = false;
-        b.relay.endedUnacknowledged(b.now, new DeliveryPolicy.Message(9, UNSAFE, 0, Optional.of("key"), 100, 1));
-        b.take(1, UNSAFE, 1, "key");
-        b.take(2, UNSAFE, 1, "key");
+        b.acknowledgesAtOnce = false;
+        b.policy.endedUnacknowledged(b.now, new DeliveryPolicy.Message(9, UNSAFE, 0, Optional.of("key"), 100, 1));
+        b.submit(1, UNSAFE, 1, "key");
+        b.submit(2, UNSAFE, 1, "key");
         assertEquals(List.of(), b.sent(), "what an earlier life ended is not heard yet");
-        b.relay.endAcknowledged(b.now, 9);
-        b.relay.endTurn(b.now);
+        b.policy.endAcknowledged(b.now, 9);
+        b.policy.endTurn(b.now);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 0, Outcome.ERROR);
         assertEquals(List.of("fail 1"), b.answers);
-        b.until(5000);
+        b.advanceTo(5000);
         assertEquals(List.of(1L), b.sent());
-        b.relay.endAcknowledged(b.now, 1);
-        b.relay.endTurn(b.now);
+        b.policy.endAcknowledged(b.now, 1);
+        b.policy.endTurn(b.now);
         assertEquals(List.of(1L, 2L), b.sent());
     }
 
     @Test
     void aKeyInOrderWaitsForACallThatIsStillOutForOthers() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, UNSAFE, 1, "key");
-        b.take(2, UNSAFE, 1, "key");
-        b.relay.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.TIMED_OUT, 10, false, 0, true));
-        b.relay.endTurn(b.now);
+        b.submit(1, UNSAFE, 1, "key");
+        b.submit(2, UNSAFE, 1, "key");
+        b.policy.attemptEnded(b.now, new DeliveryPolicy.AttemptEnd(1, 0, Outcome.TIMED_OUT, 10, false, 0, true));
+        b.policy.endTurn(b.now);
         assertEquals(List.of("fail 1"), b.answers, "its own answer is not held back");
-        b.until(5000);
+        b.advanceTo(5000);
         assertEquals(List.of(1L), b.sent());
-        b.relay.callEnded(b.now, 1);
-        b.relay.endTurn(b.now);
-        b.until(6000);
+        b.policy.callEnded(b.now, 1);
+        b.policy.endTurn(b.now);
+        b.advanceTo(6000);
         assertEquals(List.of(1L, 2L), b.sent());
     }
 
     @Test
     void aKeyInOrderRestsAfterARestartWhereAnAttemptMayRunOn() {
         PolicyHarness b = recovered(UNSAFE, 9000, earlier(100, true));
-        b.take(2, UNSAFE, 1, "key 1");
-        b.until(20_490);
+        b.submit(2, UNSAFE, 1, "key 1");
+        b.advanceTo(20_490);
         assertTrue(b.sends.isEmpty());
-        b.until(20_510);
+        b.advanceTo(20_510);
         assertEquals(List.of(2L), b.sent());
     }
 
     @Test
     void noCallStartsThatIsNotExpectedToEndBeforeTheClose() {
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
-        b.relay.shutdownScheduled(b.now, 3000);
-        b.take(1, SAFE, 1);
+        b.policy.shutdownScheduled(b.now, 3000);
+        b.submit(1, SAFE, 1);
         assertEquals(List.of(1L), b.sent());
-        b.take(2, UNSAFE, 1);
+        b.submit(2, UNSAFE, 1);
         assertEquals(List.of(1L), b.sent(), "what can't be repeated has its whole time-out or none");
-        b.until(2500);
-        b.take(3, SAFE, 1);
-        b.until(6000);
+        b.advanceTo(2500);
+        b.submit(3, SAFE, 1);
+        b.advanceTo(6000);
         assertFalse(b.sent().contains(3L));
     }
 
@@ -323,7 +323,7 @@
 
     private static PolicyHarness takenOver(PolicyHarness old, int slots) {
         PolicyHarness b = new PolicyHarness(slots);
-        b.until(77_000);
+        b.advanceTo(77_000);
         b.list(1, 10);
         b.takeOver(old, 100);
         return b;
@@ -332,24 +332,24 @@
     @Test
     void aToldWaitRunsOnInTheNextProcess() {
         PolicyHarness old = new PolicyHarness().list(1, 10);
-        old.take(1, SAFE, 1);
+        old.submit(1, SAFE, 1);
         old.end(1, 0, Outcome.FULL, 3000);
         PolicyHarness b = takenOver(old, 10);
-        b.take(2, SAFE, 1);
-        b.until(77_000 + 2850);
+        b.submit(2, SAFE, 1);
+        b.advanceTo(77_000 + 2850);
         assertEquals(List.of(), b.sends);
-        b.until(77_000 + 6000);
+        b.advanceTo(77_000 + 6000);
         assertFalse(b.sends.isEmpty());
     }
 
     @Test
     void whatIsOutHoldsItsSlotAndKeyInTheNextProcessAndIsNotRepeated() {
         PolicyHarness old = new PolicyHarness(2).list(1, 10);
-        old.take(1, UNSAFE, 1, "k");
-        old.take(2, UNSAFE, 1, "k");
+        old.submit(1, UNSAFE, 1, "k");
+        old.submit(2, UNSAFE, 1, "k");
         PolicyHarness b = takenOver(old, 2);
-        b.take(3, UNSAFE, 1, "k");
-        b.until(78_000);
+        b.submit(3, UNSAFE, 1, "k");
+        b.advanceTo(78_000);
         assertEquals(List.of(), b.sends, "the key waits for the call that is out");
         b.end(1, 0, Outcome.DELIVERED);
         assertEquals(List.of(2L), b.sent(), "the order is kept");
@@ -357,8 +357,8 @@
         assertEquals(List.of(2L, 3L), b.sent());
         assertEquals(List.of(), b.answers);
         PolicyHarness full = new PolicyHarness(1).list(1, 10);
-        full.take(1, SAFE, 1);
-        full.take(2, SAFE, 1);
+        full.submit(1, SAFE, 1);
+        full.submit(2, SAFE, 1);
         PolicyHarness c = takenOver(full, 1);
         assertEquals(List.of(), c.sends, "the only slot is taken");
         c.end(1, 0, Outcome.DELIVERED);
@@ -369,40 +369,40 @@
     void whatIsDownStaysDownInTheNextProcess() {
         PolicyHarness old = new PolicyHarness().list(1, 10, 11);
         for (long id = 1; id <= 2; id++) {
-            old.take(id, SAFE, 1);
+            old.submit(id, SAFE, 1);
             old.end(id, 0, Outcome.UNREACHABLE);
         }
-        assertTrue(old.relay.isExcluded(10));
-        assertTrue(takenOver(old, 10).relay.isExcluded(10));
+        assertTrue(old.policy.isExcluded(10));
+        assertTrue(takenOver(old, 10).policy.isExcluded(10));
     }
 
     @Test
     void aMessageIsAnsweredByItsDeadlineInTheNextProcess() {
         PolicyHarness old = new PolicyHarness().entry(10, 1, 0, 0, false);
-        old.take(1, SAFE, 1);
-        old.until(10_000);
+        old.submit(1, SAFE, 1);
+        old.advanceTo(10_000);
         PolicyHarness b = new PolicyHarness();
         b.entry(10, 1, 0, 0, false);
         b.takeOver(old, 0);
-        b.until(5900);
+        b.advanceTo(5900);
         assertEquals(List.of(), b.answers);
-        b.until(6005);
+        b.advanceTo(6005);
         assertEquals(List.of("refuse 1"), b.answers);
     }
 
     @Test
     void messagesTakenAfterOneWhoseCopyEndedFirstAreKnownToTheNextProcess() {
         PolicyHarness old = new PolicyHarness().list(1, 10, 11);
-        old.take(1, SAFE, 1);
-        old.until(1100);
+        old.submit(1, SAFE, 1);
+        old.advanceTo(1100);
         assertEquals(List.of(1L, 1L), old.sent(), "a copy is out beside the first attempt");
         old.end(1, 1, Outcome.ERROR);
         old.entry(20, 2, 0, 0, false);
-        old.take(2, SAFE, 2);
+        old.submit(2, SAFE, 2);
         PolicyHarness b = new PolicyHarness().list(1, 10, 11);
         b.entry(20, 2, 0, 0, false);
         b.takeOver(old, 0);
-        b.until(16_000);
+        b.advanceTo(16_000);
         assertTrue(b.answers.contains("refuse 2"), "answered: " + b.answers);
     }
 }
--- a/src/test/java/starlingvalve/PaceAndHealthTest.java
+++ b/src/test/java/starlingvalve/PaceAndHealthTest.java
@@ -18,22 +18,22 @@
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 5);
         for (int i = 0; i < 8; i++) {
-            b.take(i, SAFE, 1);
+            b.submit(i, SAFE, 1);
         }
-        b.until(100);
+        b.advanceTo(100);
         assertEquals(8, b.sends.size(), "no pace before the first refusal");
         b.onSend = s -> { };
-        b.take(50, SAFE, 1);
+        b.submit(50, SAFE, 1);
         b.end(50, 0, Outcome.FULL);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 5);
         for (int i = 100; i < 160; i++) {
-            b.take(i, SAFE, 1);
+            b.submit(i, SAFE, 1);
         }
         double start = b.now;
-        b.until(start + 1000);
+        b.advanceTo(start + 1000);
         int early = b.sends.size() - 9;
         assertTrue(early >= 4 && early <= 16, "paced, sent " + early);
-        b.until(start + 4000);
+        b.advanceTo(start + 4000);
         assertTrue(b.sends.size() - 9 > 5 * early, "creeps back");
     }
 
@@ -41,25 +41,25 @@
     @Test
     void aFullConnectionTableCutsNoPace() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.NO_CONNECTION);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 5);
         for (int i = 100; i < 160; i++) {
-            b.take(i, SAFE, 1);
+            b.submit(i, SAFE, 1);
         }
-        b.until(1000);
+        b.advanceTo(1000);
         assertEquals(61, b.delivered(), "all of them, once the table has room again");
     }
 
     @Test
     void connectionsAreTriedEverMoreSeldomWhileTheirTableIsFull() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
-        b.take(1000, SAFE, 1);
+        b.submit(1000, SAFE, 1);
         b.end(1000, 0, Outcome.DELIVERED);
         b.onSend = s -> b.endLater(s, Outcome.NO_CONNECTION, 5);
         for (int i = 0; i < 200; i++) {
-            b.take(i, SAFE, 1);
-            b.until(b.now + 10);
+            b.submit(i, SAFE, 1);
+            b.advanceTo(b.now + 10);
         }
         long moments = b.sends.stream().map(PolicyHarness.Sent::at).distinct().count() - 1;
         assertTrue(moments >= 3, "moments at which connections were tried in 2 s: " + moments);
@@ -69,23 +69,23 @@
     @Test
     void twoRefusalsOfOneMomentAreNoOutageInANewProcess() {
         PolicyHarness b = new PolicyHarness(100, 100).list(1, 10);
-        b.takeTogether(2, SAFE, 1);
+        b.submitTogether(2, SAFE, 1);
         assertEquals(2, b.sends.size());
-        b.until(b.now + 5);
+        b.advanceTo(b.now + 5);
         b.end(1, 0, Outcome.FULL);
         b.end(2, 0, Outcome.FULL);
-        assertFalse(b.relay.isExcluded(10));
+        assertFalse(b.policy.isExcluded(10));
     }
 
     @Test
     void aSilentEndpointGetsSingleTrialsNotItsBacklog() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
         for (int i = 0; i < 40; i++) {
-            b.take(i, SAFE, 1);
-            b.until(b.now + 100);
+            b.submit(i, SAFE, 1);
+            b.advanceTo(b.now + 100);
         }
         int before = b.sends.size();
-        b.until(b.now + 4000);
+        b.advanceTo(b.now + 4000);
         assertTrue(b.sends.size() <= before + 3, "sent " + (b.sends.size() - before));
     }
 
@@ -93,10 +93,10 @@
     @Test
     void aSlowAnswerEndsASilence() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
-        b.take(1, UNSAFE, 1);
-        b.take(2, UNSAFE, 1);
-        b.until(1500);
-        b.take(3, UNSAFE, 1);
+        b.submit(1, UNSAFE, 1);
+        b.submit(2, UNSAFE, 1);
+        b.advanceTo(1500);
+        b.submit(3, UNSAFE, 1);
         assertEquals(2, b.sends.size(), "silent: no backlog");
         b.end(1, 0, Outcome.DELIVERED);
         assertEquals(3, b.sends.size());
@@ -106,11 +106,11 @@
     void aReturningDestinationIsNotPushedOver() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
-        b.takeEvery(100, SAFE, 1, 20_000);
+        b.submitEvery(100, SAFE, 1, 20_000);
         b.onSend = s -> b.endLater(s, Outcome.UNREACHABLE, 20);
-        b.takeEvery(100, SAFE, 1, 30_000);
+        b.submitEvery(100, SAFE, 1, 30_000);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
-        b.takeEvery(100, SAFE, 1, 45_000);
+        b.submitEvery(100, SAFE, 1, 45_000);
         for (double from = 30_000; from + 1500 <= 42_000; from += 250) {
             double end = from + 1500;
             double capacity = 10 * 1.5 * (0.2 + 0.8 * Math.min(1, (from - 30_000) / 12_000));
@@ -124,7 +124,7 @@
     void aLostCallNowAndThenDoesNotHoldBackAnEndpoint() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() % 4 == 0 ? Outcome.BROKEN : Outcome.DELIVERED, 20);
-        b.takeEvery(200, SAFE, 1, 30_000);
+        b.submitEvery(200, SAFE, 1, 30_000);
         long last = b.sends.stream().filter(s -> s.at() > 20_000).count();
         assertTrue(last >= 50, "sends in the last ten seconds: " + last);
     }
@@ -133,7 +133,7 @@
     void oneFailedConnectIsNoOutageToWarmUpFrom() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() == 50 ? Outcome.UNREACHABLE : Outcome.DELIVERED, 20);
-        b.takeEvery(100, SAFE, 1, 11_000);
+        b.submitEvery(100, SAFE, 1, 11_000);
         double failedAt = b.sends.get(49).at();
         long soon = b.sends.stream().filter(s -> s.at() > failedAt && s.at() < failedAt + 4000).count();
         assertTrue(soon >= 35, "sent in the 4 s after: " + soon);
@@ -147,7 +147,7 @@
         PolicyHarness b = new PolicyHarness(100).list(1, 10, 11);
         b.onSend = s -> b.endLater(s, s.endpoint() == 10 && b.now < 5000 ? Outcome.UNREACHABLE
                 : Outcome.DELIVERED, 20);
-        b.takeEvery(100, SAFE, 1, 40_000);
+        b.submitEvery(100, SAFE, 1, 40_000);
         assertTrue(b.sends.stream().filter(s -> s.endpoint() == 10 && s.at() > 30_000).count() > 10);
     }
 
@@ -156,9 +156,9 @@
     @Test
     void aDestinationHoldsOneOfThreeSlots() {
         PolicyHarness b = new PolicyHarness(3).list(1, 10).list(2, 20);
-        b.take(1, SAFE, 1);
-        b.take(2, SAFE, 1);
-        b.take(3, SAFE, 2);
+        b.submit(1, SAFE, 1);
+        b.submit(2, SAFE, 1);
+        b.submit(3, SAFE, 2);
         assertEquals(List.of(1L, 3L), b.sent());
         b.end(1, 0, Outcome.DELIVERED);
         assertEquals(List.of(1L, 3L, 2L), b.sent());
@@ -168,10 +168,10 @@
     void aDestinationLeavesSlotsForOthers() {
         PolicyHarness b = new PolicyHarness(10).list(1, 10).list(2, 20);
         for (long id = 0; id < 20; id++) {
-            b.take(id, SAFE, 1);
+            b.submit(id, SAFE, 1);
         }
         assertEquals(5, b.sends.size());
-        b.take(50, SAFE, 2);
+        b.submit(50, SAFE, 2);
         assertEquals(6, b.sends.size());
     }
 
@@ -183,7 +183,7 @@
     void anOutageAtTheStartIsRampedOnTheMessagesTaken() {
         PolicyHarness b = new PolicyHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, b.now < 6000 ? Outcome.UNREACHABLE : Outcome.DELIVERED, 20);
-        b.takeEvery(200, SAFE, 1, 14_000);
+        b.submitEvery(200, SAFE, 1, 14_000);
         long sent = b.sends.stream().filter(s -> s.at() > 8000).count();
         assertTrue(sent >= 10, "sent in six seconds: " + sent);
     }
@@ -201,7 +201,7 @@
             b.at(b.now + 20, () -> b.end(s.message(), s.attempt(), taken ? Outcome.DELIVERED : Outcome.FULL,
                     taken ? 0 : 2000));
         };
-        b.takeEvery(125, SAFE, 1, 60_000);
+        b.submitEvery(125, SAFE, 1, 60_000);
         long taken = b.delivered();
         assertTrue(taken >= 0.6 * 5 * 60, "delivered in a minute at five a second: " + taken);
     }
@@ -214,7 +214,7 @@
         b.list(1, 10);
         b.onSend = s -> b.endLater(s, b.now < 8000 && b.sends.size() % 3 > 0 ? Outcome.FULL
                 : Outcome.DELIVERED, 20);
-        b.takeEvery(400, SAFE, 1, 40_000);
+        b.submitEvery(400, SAFE, 1, 40_000);
         long late = b.sends.stream().filter(s -> s.at() > 20_000 && s.at() < 30_000).count();
         assertTrue(late >= 22, "sent in ten seconds: " + late);
     }
@@ -226,8 +226,8 @@
         b.listedRate = 0.001;
         b.list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
-        b.takeEvery(1000, SAFE, 1, 60_000);
-        b.until(76_000);
+        b.submitEvery(1000, SAFE, 1, 60_000);
+        b.advanceTo(76_000);
         assertTrue(b.delivered() >= 8, "delivered of 60: " + b.delivered());
     }
 
@@ -238,8 +238,8 @@
             b.listedRate = rate;
             b.list(1, 10);
             b.onSend = s -> b.endLater(s, b.sends.size() % 3 == 0 ? Outcome.FULL : Outcome.DELIVERED, 20);
-            b.takeEvery(1000, SAFE, 1, 30_000);
-            b.until(46_000);
+            b.submitEvery(1000, SAFE, 1, 30_000);
+            b.advanceTo(46_000);
             assertTrue(b.delivered() >= 20, "delivered of 30 at a listed rate of " + rate + ": " + b.delivered());
         }
     }
@@ -247,11 +247,11 @@
     @Test
     void aClassWhoseAimIsItsDeadlineGoesFirstBeforeItIsLost() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 4000);
-        b.take(2, SAFE, 1);
-        b.take(3, NEVER_LATE, 1);
-        b.until(4900);
+        b.submit(2, SAFE, 1);
+        b.submit(3, NEVER_LATE, 1);
+        b.advanceTo(4900);
         assertEquals(3L, b.sent().get(1));
     }
 
@@ -260,7 +260,7 @@
     void theFloorOfThePaceFollowsTheSendersOwnPartOfTheLoad() {
         PolicyHarness b = new PolicyHarness(100, 11).list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.FULL, 5);
-        b.takeEvery(500, SAFE, 1, 10_000);
+        b.submitEvery(500, SAFE, 1, 10_000);
         long sent = b.sends.stream().filter(s -> s.at() > 2000).count();
         assertTrue(sent <= 8, "sent in eight seconds: " + sent);
     }
@@ -272,7 +272,7 @@
         b.listedRate = 8;
         b.list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? Outcome.FULL : Outcome.DELIVERED, 20);
-        b.takeEvery(500, SAFE, 1, 20_000);
+        b.submitEvery(500, SAFE, 1, 20_000);
         long sent = b.sends.stream().filter(s -> s.at() > 5000 && s.at() < 15_000).count();
         assertTrue(sent >= 15, "sent in ten seconds: " + sent);
     }
@@ -283,10 +283,10 @@
         PolicyHarness b = new PolicyHarness(3, 200).list(1, 10);
         b.onSend = s -> b.endLater(s, s.attempt() == 0 ? Outcome.FULL : Outcome.DELIVERED, 5);
         for (int id = 1; id <= 3; id++) {
-            b.take(id, SAFE, 1);
-            b.until(id * 15_000 + 1000);
+            b.submit(id, SAFE, 1);
+            b.advanceTo(id * 15_000 + 1000);
             assertEquals(id, b.delivered());
-            b.until(id * 15_000 + 15_000);
+            b.advanceTo(id * 15_000 + 15_000);
         }
     }
 
@@ -296,9 +296,9 @@
         int early = 0;
         for (int seed = 0; seed < 40; seed++) {
             PolicyHarness b = new PolicyHarness(3, 200, seed).list(1, 10);
-            b.take(1, SAFE, 1);
+            b.submit(1, SAFE, 1);
             b.end(1, 0, Outcome.FULL, 8000);
-            b.until(9000);
+            b.advanceTo(9000);
             early += b.sends.size() - 1;
         }
         assertTrue(early <= 8, "of forty senders back within a second: " + early);
@@ -309,7 +309,7 @@
     void refusalsAndLostCallsTogetherTakeAnEndpointDown() {
         PolicyHarness b = new PolicyHarness(3, 200).list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? Outcome.FULL : Outcome.ERROR, 300);
-        b.takeEvery(2000, SAFE, 1, 20_000);
+        b.submitEvery(2000, SAFE, 1, 20_000);
         long late = b.sends.stream().filter(s -> s.at() > 6000).count();
         assertTrue(late <= 2, "sent to an endpoint that never delivers: " + late);
     }
@@ -319,15 +319,15 @@
     void twoBadEndsInARowTakeAnEndpointDownThatDeliveredNothingForLong() {
         for (double quietMs : new double[] {1000, 11_000}) {
             PolicyHarness b = new PolicyHarness().list(1, 10);
-            b.take(1, SAFE, 1);
+            b.submit(1, SAFE, 1);
             b.end(1, 0, Outcome.DELIVERED);
-            b.until(quietMs);
-            b.take(2, UNSAFE, 1);
+            b.advanceTo(quietMs);
+            b.submit(2, UNSAFE, 1);
             b.end(2, 0, Outcome.ERROR);
-            assertFalse(b.relay.isExcluded(10), "one is not enough");
-            b.take(3, UNSAFE, 1);
+            assertFalse(b.policy.isExcluded(10), "one is not enough");
+            b.submit(3, UNSAFE, 1);
             b.end(3, 0, Outcome.ERROR);
-            assertEquals(quietMs > 10_000, b.relay.isExcluded(10), "after " + quietMs + " ms");
+            assertEquals(quietMs > 10_000, b.policy.isExcluded(10), "after " + quietMs + " ms");
         }
     }
 
@@ -340,8 +340,8 @@
         }
         b.onSend = s -> b.endLater(s, Outcome.FULL, 5);
         for (long id = 0; id < 100; id++) {
-            b.take(id, SAFE, id);
-            b.until(b.now + 100);
+            b.submit(id, SAFE, id);
+            b.advanceTo(b.now + 100);
         }
         assertTrue(b.sends.size() <= 132, "sends of a hundred messages: " + b.sends.size());
         assertTrue(b.sends.size() >= 120, "sends of a hundred messages: " + b.sends.size());
@@ -350,14 +350,14 @@
     @Test
     void messagesOfOneTurnShareACallAndItsSlot() {
         PolicyHarness b = new PolicyHarness(1).entry(10, 1, 1, 0, true);
-        b.takeTogether(5, SAFE, 1);
+        b.submitTogether(5, SAFE, 1);
         assertEquals(5, b.sends.size());
     }
 
     @Test
     void aCheaperRouteIsPreferred() {
         PolicyHarness b = new PolicyHarness().entry(10, 1, 2, 1, true).entry(11, 1, 2, 0, true);
-        b.take(1, SAFE, 1);
+        b.submit(1, SAFE, 1);
         assertEquals(11, b.sends.get(0).endpoint());
     }
 
@@ -365,13 +365,13 @@
     @Test
     void anEndpointWhoseLastEndWasFruitlessYieldsToItsSibling() {
         PolicyHarness b = new PolicyHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 1, true);
-        b.take(1, UNSAFE, 1);
+        b.submit(1, UNSAFE, 1);
         b.end(1, 0, Outcome.DELIVERED);
-        b.take(2, UNSAFE, 1);
+        b.submit(2, UNSAFE, 1);
         assertEquals(10, b.sends.get(1).endpoint());
         b.end(2, 0, Outcome.FULL);
-        b.until(2000);
-        b.take(3, UNSAFE, 1);
+        b.advanceTo(2000);
+        b.submit(3, UNSAFE, 1);
         assertEquals(List.of(11L, 11L), b.sends.stream().skip(2).map(PolicyHarness.Sent::endpoint).toList());
     }
 
@@ -380,24 +380,24 @@
     void afterLossesOnIdleConnectionsAtTwoDestinationsOthersAreClosedBeforeUse() {
         PolicyHarness b = new PolicyHarness().list(1, 10).list(2, 20).list(3, 30);
         for (long id = 1; id <= 3; id++) {
-            b.take(id, UNSAFE, id);
+            b.submit(id, UNSAFE, id);
             b.end(id, 0, Outcome.DELIVERED);
         }
-        b.until(4000);
+        b.advanceTo(4000);
         for (long id = 4; id <= 5; id++) {
-            b.take(id, UNSAFE, id - 3);
+            b.submit(id, UNSAFE, id - 3);
             b.end(id, 0, Outcome.BROKEN);
-            assertTrue(b.closes.isEmpty());
+            assertTrue(b.idleCloses.isEmpty());
         }
-        b.take(6, UNSAFE, 3);
-        assertEquals(List.of(30L), b.closes);
+        b.submit(6, UNSAFE, 3);
+        assertEquals(List.of(30L), b.idleCloses);
         assertEquals(6, b.sends.size());
     }
 
     @Test
     void aFreshInstanceSendsAtOnce() {
         PolicyHarness b = new PolicyHarness().list(1, 10);
-        b.take(1, UNSAFE, 1);
+        b.submit(1, UNSAFE, 1);
         assertEquals(1, b.sends.size());
     }
 }
--- a/src/test/java/starlingvalve/PolicyHarness.java
+++ b/src/test/java/starlingvalve/PolicyHarness.java
@@ -31,22 +31,22 @@
 
     final List<Sent> sends = new ArrayList<>();
     final List<String> cancels = new ArrayList<>();
-    final List<Long> closes = new ArrayList<>();
+    final List<Long> idleCloses = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final List<Double> wakes = new ArrayList<>();
-    final List<Double> waits = new ArrayList<>();
-    final DeliveryPolicy relay;
+    final List<Double> retryAfters = new ArrayList<>();
+    final DeliveryPolicy policy;
     Consumer<Sent> onSend = s -> { };
-    boolean strict;
+    boolean checksRules;
     /** The list of endpoints is the newest: calls may go out. */
     boolean mayStartCalls = true;
     /** How often the module asked and was told to wait. */
-    int heldBack;
-    boolean heardAtOnce = true;
+    int callsHeldBack;
+    boolean acknowledgesAtOnce = true;
     double listedRate;
     double now;
     /** The caller fails when it is told the answer of this message. */
-    long unanswerable = -1;
+    long failsToAnswer = -1;
 
     private final PriorityQueue<ScheduledEvent> due =
             new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::at)
@@ -82,7 +82,7 @@
         DeliveryPolicy.Settings settings =
                 new DeliveryPolicy.Settings(MessageClasses.CLASSES, kinds, true, DeliveryPolicy.Decay.LINEAR,
                         List.of(0.0, 0.06), senders, slots, 12, true, true, 500, 15_000, coldStart);
-        relay = DeliveryPolicy.create(settings, seed, this);
+        policy = DeliveryPolicy.create(settings, seed, this);
     }
 
     PolicyHarness list(long destination, long... ids) {
@@ -95,32 +95,32 @@
     PolicyHarness entry(long id, long destination, int kind, int zone, boolean serving) {
         DeliveryPolicy.Endpoint entry = new DeliveryPolicy.Endpoint(id, destination, kind, zone, serving, listedRate);
         endpoints.put(id, entry);
-        relay.endpoints(now, false, List.of(entry));
-        relay.endTurn(now);
+        policy.endpoints(now, false, List.of(entry));
+        policy.endTurn(now);
         return this;
     }
 
-    void take(long id, int type, long destination) {
-        take(id, type, destination, "key " + id);
+    void submit(long id, int type, long destination) {
+        submit(id, type, destination, "key " + id);
     }
 
-    void take(long id, int type, long destination, String key) {
+    void submit(long id, int type, long destination, String key) {
         handIn(id, type, destination, key);
-        relay.endTurn(now);
+        policy.endTurn(now);
     }
 
-    void takeTogether(int many, int type, long destination) {
+    void submitTogether(int many, int type, long destination) {
         for (long id = 1; id <= many; id++) {
             handIn(id, type, destination, "key " + id);
         }
-        relay.endTurn(now);
+        policy.endTurn(now);
     }
 
     /** One message each so many milliseconds, numbered on from those taken before, until that time. */
-    void takeEvery(double gap, int type, long destination, double end) {
+    void submitEvery(double gap, int type, long destination, double end) {
         while (now < end) {
-            take(messages.size(), type, destination);
-            until(now + gap);
+            submit(messages.size(), type, destination);
+            advanceTo(now + gap);
         }
     }
 
@@ -128,11 +128,11 @@
         double left = type < MessageClasses.CLASSES.size() ? MessageClasses.CLASSES.get(type).deadlineMs() : 16_000;
         DeliveryPolicy.Message m = new DeliveryPolicy.Message(id, type, 0, Optional.of(key), left, destination);
         messages.put(id, m);
-        OptionalDouble away = relay.admissionRetryAfter(now, m);
+        OptionalDouble away = policy.admissionRetryAfter(now, m);
         if (away.isPresent()) {
             refuse(id, away.getAsDouble());
         } else {
-            relay.messageAccepted(now, m);
+            policy.messageAccepted(now, m);
         }
         if (MessageClasses.CLASSES.get(type).inOrder()) {
             byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
@@ -140,17 +140,17 @@
     }
 
     /** A message of an earlier life, with the attempts made then. */
-    void resume(long id, int type, long destination, double leftMs, List<DeliveryPolicy.EarlierAttempt> earlier) {
-        resumeInTurn(id, type, destination, leftMs, earlier);
-        relay.endTurn(now);
+    void recover(long id, int type, long destination, double leftMs, List<DeliveryPolicy.EarlierAttempt> earlier) {
+        recoverInTurn(id, type, destination, leftMs, earlier);
+        policy.endTurn(now);
     }
 
-    void resumeInTurn(long id, int type, long destination, double leftMs, List<DeliveryPolicy.EarlierAttempt> earlier) {
+    void recoverInTurn(long id, int type, long destination, double leftMs, List<DeliveryPolicy.EarlierAttempt> earlier) {
         DeliveryPolicy.Message m =
                 new DeliveryPolicy.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
         attempts.put(id, earlier.size());
         messages.put(id, m);
-        relay.messageRecovered(now, m, earlier);
+        policy.messageRecovered(now, m, earlier);
     }
 
     /** Goes on where another instance was, some time ago by the clock. */
@@ -164,11 +164,11 @@
         messages.putAll(old.messages);
         ends.putAll(old.ends);
         over.addAll(old.over);
-        relay.restore(now, now - agoMs, passed.apply(old.relay.snapshot(old.now)));
-        relay.endTurn(now);
+        policy.restore(now, now - agoMs, passed.apply(old.policy.snapshot(old.now)));
+        policy.endTurn(now);
     }
 
-    boolean isOver(long id) {
+    boolean hasEnded(long id) {
         return over.contains(id);
     }
 
@@ -182,9 +182,9 @@
         if (outcome == Outcome.DELIVERED) {
             over.add(message);
         }
-        relay.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, 10, messageEnded, retryAfterMs,
+        policy.attemptEnded(now, new DeliveryPolicy.AttemptEnd(message, attempt, outcome, 10, messageEnded, retryAfterMs,
                 false));
-        relay.endTurn(now);
+        policy.endTurn(now);
     }
 
     void endLater(Sent s, Outcome outcome, double took) {
@@ -197,8 +197,8 @@
 
     void withdraw(long id) {
         over.add(id);
-        relay.messageWithdrawn(now, id);
-        relay.endTurn(now);
+        policy.messageWithdrawn(now, id);
+        policy.endTurn(now);
     }
 
     void at(double time, Runnable event) {
@@ -206,7 +206,7 @@
     }
 
     /** Lets time pass up to this moment, in steps of the caller's tick. */
-    void until(double end) {
+    void advanceTo(double end) {
         while (now + STEP <= end) {
             now += STEP;
             while (!due.isEmpty() && due.peek().at <= now) {
@@ -229,7 +229,7 @@
         return sends.stream().map(Sent::message).toList();
     }
 
-    void allAnswered() {
+    void assertAllAnswered() {
         for (long id : messages.keySet()) {
             assertTrue(over.contains(id), "message " + id + " got no answer");
         }
@@ -237,7 +237,7 @@
 
     @Override
     public boolean mayStartCalls() {
-        heldBack += mayStartCalls ? 0 : 1;
+        callsHeldBack += mayStartCalls ? 0 : 1;
         return mayStartCalls;
     }
 
@@ -245,7 +245,7 @@
     public void send(long message, long endpoint, double timeoutMs) {
         int attempt = attempts.merge(message, 1, Integer::sum) - 1;
         Sent s = new Sent(message, attempt, endpoint, now, timeoutMs);
-        if (strict) {
+        if (checksRules) {
             check(s);
         }
         sends.add(s);
@@ -289,7 +289,7 @@
     @Override
     public void cancel(long message, int attempt) {
         cancels.add(message + "/" + attempt);
-        if (strict) {
+        if (checksRules) {
             at(now, () -> {
                 if (!ends.containsKey(message + "/" + attempt)) {
                     end(message, attempt, Outcome.CANCELLED);
@@ -300,13 +300,13 @@
 
     @Override
     public void closeIdle(long endpoint) {
-        closes.add(endpoint);
+        idleCloses.add(endpoint);
     }
 
     @Override
     public boolean refuse(long message, double retryAfterMs) {
-        waits.add(retryAfterMs);
-        if (strict) {
+        retryAfters.add(retryAfterMs);
+        if (checksRules) {
             Effect effect = MessageClasses.CLASSES.get(messages.get(message).messageClass()).effect();
             for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
                 assertFalse(ends.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
@@ -321,20 +321,20 @@
     }
 
     private boolean answer(String what, long message) {
-        if (message == unanswerable) {
+        if (message == failsToAnswer) {
             throw new IllegalStateException("a fault of the test's");
         }
         assertTrue(over.add(message), "a second answer");
         answers.add(what + message);
-        return heardAtOnce;
+        return acknowledgesAtOnce;
     }
 
     @Override
     public void wakeAt(double time) {
         wakes.add(time);
         at(Math.max(time, now + 0.001), () -> {
-            relay.wake(now);
-            relay.endTurn(now);
+            policy.wake(now);
+            policy.endTurn(now);
         });
     }
 
