--- a/src/main/java/starlingvalve/DeliveryPolicy.java
+++ b/src/main/java/starlingvalve/DeliveryPolicy.java
@@ -7,211 +7,233 @@
 import java.util.Set;
 
 /**
- * The decision module's interface: what a sender tells it, what it tells the sender, and the values that
- * pass.
+ * Decides when, where and how often a sender's messages are sent. The sender reports events by calling the methods
+ * of this interface, and the policy answers with {@link Actions}; the nested types are the values that both exchange.
  *
  * <p>Contract. One instance serves one sender and is called from one thread at a time. It has no clock: each
- * event carries the caller's time in milliseconds, which never goes back. Events between two calls of {@link
- * #endTurn} form a turn and share one time; new sends are decided in {@code endTurn} only, so that those of
+ * event carries the caller's time in milliseconds, which never goes back. The events between two calls of {@link
+ * #endTurn} form a turn and share one time. New sends are decided in {@code endTurn} only, so that those of
  * one turn to one endpoint can share a call. {@link Actions} may be called during any event, in the order in
- * which they are meant; an action must not call back into the instance. Equal settings, seed and events give
- * equal actions.
+ * which they are to be carried out; an action must not call back into the instance. Equal settings, seed and events
+ * give equal actions.
  *
  * <p>Misuse (an unknown message or attempt, a repeated id, a clock that goes back) throws {@link
- * IllegalArgumentException} or {@link IllegalStateException}; what may arrive late by nature (a withdrawal of
- * an ended message, a wake that is no longer needed, a second end of one attempt) is ignored.
+ * IllegalArgumentException} or {@link IllegalStateException}. Events that may arrive late in normal operation (a
+ * withdrawal of an ended message, a wake-up that is no longer needed, a second end of one attempt) are ignored.
  */
 public interface DeliveryPolicy {
-    /** A new instance, with no state; equal settings, seeds and events give equal actions. */
+    /** Creates an instance without any state; equal settings, seeds and events give equal actions. */
     static DeliveryPolicy create(Settings settings, long seed, Actions actions) {
         return new DeliveryScheduler(settings, seed, actions);
     }
 
     /**
-     * The list of endpoints changed: the whole list, or only the entries that differ from the list before.
+     * The list of endpoints has changed. The entries are the whole new list, or only those that differ from the
+     * previous one.
      */
     void endpoints(double now, boolean whole, List<Endpoint> entries);
 
     /**
-     * Asked before a message is taken: if it is not to be, after how long its client may come again. One that is
-     * turned away is not known here; {@link #messageAccepted} follows for one that is not.
+     * Asked before a message is accepted. Empty if it may be accepted, and {@link #messageAccepted} follows. Otherwise
+     * the message is rejected at admission and not kept here; the value is the time in milliseconds after which its
+     * client may submit it again.
      */
     OptionalDouble admissionRetryAfter(double now, Message message);
 
     /**
-     * The sender has taken a message; exactly one of delivered, refused or failed ends it before its time is
-     * up.
+     * The sender has accepted a message. Exactly one of a delivery, {@link Actions#refuse} or {@link Actions#fail}
+     * ends it before its deadline.
      */
     void messageAccepted(double now, Message message);
 
     /**
-     * A message that an earlier life of this sender took comes back from its journal, with the attempts made
-     * then, in their order; further ones are numbered on from these. One that was out when that life ended
-     * may have run; none of them holds a slot or gets an end any more. Messages come in the order taken.
+     * A message that was accepted before a restart is read back from the journal, with the attempts made until then,
+     * in their order; further attempts are numbered on from these. An attempt that was in flight at the restart may
+     * have run. None of the earlier attempts holds a slot, and no end follows for them. Messages are reported in the
+     * order in which they were accepted.
      */
     void messageRecovered(double now, Message message, List<EarlierAttempt> attempts);
 
     /**
-     * The sender will stop at this time: no call starts any more that can't be expected to end before it.
+     * The sender will stop at the given time: from now on only calls that can be expected to end before it are started.
      */
-    void shutdownScheduled(double now, double end);
+    void shutdownScheduled(double now, double shutdownAt);
 
     /**
-     * An attempt has ended; each {@link Actions#send} gets exactly one. A delivered end finishes the message
-     * without a further answer from the module.
+     * An attempt has ended; this is reported exactly once for each {@link Actions#send}. A delivery ends the message
+     * without a further answer from the policy.
      */
     void attemptEnded(double now, AttemptEnd end);
 
-    /** The answer of an attempt tells a wait, which runs from now on; told with its head and once it is whole. */
+    /**
+     * The response to an attempt carries a {@code Retry-After}, which counts from now. Reported once when the head of
+     * the response is read, and again when the response is complete.
+     */
     void retryAfterReceived(double now, long endpoint, double retryAfterMs);
 
     /**
-     * Whether an attempt may go out now, asked just before its first byte: a wait told since its decision, a drain, or
-     * the end of the time in which it may be repeated, may stand against it. One that may not ends as not sent.
+     * Whether an attempt may still be sent, asked just before its first byte is written. Since it was decided, a
+     * {@code Retry-After} may have arrived, its endpoint may have begun to drain, or the time in which the message may
+     * be repeated may have passed. An attempt that may not be sent ends as {@link Outcome#NOT_SENT}.
      */
     boolean mayBeginAttempt(double now, long message, int attempt);
 
     /**
-     * The call of an attempt that had ended while it was open is over now: nothing of it can still run there.
+     * A call that was still in flight when an attempt in it ended ({@link AttemptEnd#callInFlight}) has ended too:
+     * the attempt can no longer run at the endpoint.
      */
     void callEnded(double now, long message);
 
     /**
-     * A message that an earlier life of this sender took and answered by refusing or failing it, which nobody
-     * has heard yet. It comes in the order taken, as with {@link #messageRecovered}; {@link #endAcknowledged} follows.
+     * A message that was accepted and then refused or failed before a restart, and whose end is not acknowledged yet.
+     * Reported in the order of acceptance, together with {@link #messageRecovered}; {@link #endAcknowledged} follows.
      */
     void endedUnacknowledged(double now, Message message);
 
-    /** The final answer of a message has been heard, so it is over; of what is not known, nothing hangs on it. */
+    /** The final answer of a message has been acknowledged. Ignored for a message that is not known. */
     void endAcknowledged(double now, long message);
 
     /**
-     * Operators leave an endpoint out, whatever the list says, or put it back: it comes back cold. The list need
-     * not have named it yet; saying the same again changes nothing.
+     * Operators put an endpoint in maintenance, whatever the list says, or end its maintenance; it is treated as cold
+     * afterwards. The endpoint need not be listed yet. Repeating the current state changes nothing.
      */
-    void setMaintenance(double now, long endpoint, boolean out);
+    void setMaintenance(double now, long endpoint, boolean inMaintenance);
 
-    /** Whether an endpoint is avoided now: left out by operators, or taken for down. */
+    /** Whether an endpoint is excluded now: in maintenance, or ejected because it counts as down. */
     boolean isExcluded(long endpoint);
 
-    /** The messages that it has been told of and has not ended. */
+    /** The ids of the messages that are known here and have not ended. */
     Set<Long> openMessages();
 
     /**
-     * Another process is about to take over, and nobody decides anything for so long, as far as can be expected. What waits
-     * and would run out of time meanwhile gets its final answer now.
+     * Another process is about to take over, and for the expected pause no decisions are made. Waiting messages whose
+     * deadline would pass in that time get their final answer now.
      */
     void handoverStarting(double now, double pauseMs);
 
-    /** All that this instance knows and a journal does not hold, for the process that takes over from this one. */
+    /** The state of this instance that the journal does not hold, for the process that takes over from this one. */
     Snapshot snapshot(double now);
 
     /**
-     * Goes on where another instance was at the given time, which is not after now; comes first, once the list
-     * and what operators leave out are told. Attempts that were out hold their slots, and get their ends.
+     * Continues from the state that another instance had at {@code takenAt}, which is not after {@code now}. This is
+     * the first event after the list of endpoints and those in maintenance have been reported. Attempts that were in
+     * flight hold their slots, and their ends are reported here.
      */
     void restore(double now, double takenAt, Snapshot snapshot);
 
     /**
-     * Nobody waits for this message any more; no answer is owed. Its client has left, or an answer that came after the
-     * end of its attempt tells that it is over.
+     * No further answer is needed for this message: its client has disconnected, or a response that arrived after the
+     * end of its attempt shows that the message has ended.
      */
     void messageWithdrawn(double now, long message);
 
     /**
-     * An answer tells that this message is delivered, and a notice is on its way that confirms its end: nothing is sent
-     * for it any more, and its key waits until {@link #endAcknowledged}. If its attempt is out, the end of that follows.
+     * A response shows that this message is delivered, and a notice that confirms its end is on its way. Nothing more
+     * is sent for the message, and further messages of its key wait until {@link #endAcknowledged}. If an attempt of
+     * it is in flight, the end of that attempt follows.
      */
     void endConfirmationPending(double now, long message);
 
-    /** A wake asked for by {@link Actions#wakeAt} has come; early and stale ones do no harm. */
+    /** A wake-up requested by {@link Actions#wakeAt}; early and outdated ones do no harm. */
     void wake(double now);
 
-    /** All events of this turn have been told: queued sends are decided now. */
+    /** All events of this turn have been reported: the sends of queued messages are decided now. */
     void endTurn(double now);
 
-    /** What the module asks of the sender. */
+    /** The actions that the policy requests from the sender. */
     interface Actions {
         /**
-         * Whether calls may go out now: not while the list of endpoints may be out of date. Where they may not, a turn
-         * follows once they may. Asked before a turn's first {@link #send}.
+         * Whether calls may be started now; they may not while the list of endpoints may be out of date. If they may
+         * not, a turn follows as soon as they may. Asked before the first {@link #send} of a turn.
          */
         default boolean mayStartCalls() {
             return true;
         }
 
         /**
-         * Start the next attempt of a message, numbered 0, 1, 2 and so on within it. The time-out counts from
-         * now. Sends of one turn to one endpoint may share a call, up to the kind's batch.
+         * Starts the next attempt of a message; attempts are numbered 0, 1, 2 and so on within the message. The
+         * time-out counts from now. Sends of one turn to one endpoint may share a call, up to {@link Kind#batch}.
          */
         void send(long message, long endpoint, double timeoutMs);
 
-        /** Stop waiting for an attempt that is redundant; its end is still reported. */
+        /** Cancels an attempt that is redundant; its end is still reported. */
         void cancel(long message, int attempt);
 
-        /** Close this sender's idle connections to an endpoint; its next call opens a new one. */
+        /** Closes this sender's idle connections to an endpoint; the next call to it opens a new one. */
         void closeIdle(long endpoint);
 
         /**
-         * Final: handed back, and trying again is harmless; the client should stay away for the given time.
-         * Tells whether that is heard, and the message over, at once; else {@link DeliveryPolicy#endAcknowledged} follows.
+         * Ends a message: it is returned to the client, and submitting it again is harmless. The client should wait
+         * for the given time before it does.
+         *
+         * @return whether the end is acknowledged, and the message thereby complete, at once; else {@link
+         *     DeliveryPolicy#endAcknowledged} follows
          */
         boolean refuse(long message, double retryAfterMs);
 
-        /** Final: given up, with no promise about its effect. Heard as with {@link #refuse}. */
+        /**
+         * Ends a message: it is given up, and may or may not have taken effect.
+         *
+         * @return whether the end is acknowledged at once, as with {@link #refuse}
+         */
         boolean fail(long message);
 
-        /** Call {@link DeliveryPolicy#wake} in a turn at or soon after this time. */
+        /** Requests a call of {@link DeliveryPolicy#wake} in a turn at this time or soon after. */
         void wakeAt(double time);
 
-        /** A line for the people on call. */
+        /** Logs a line for the operators. */
         void log(String text);
     }
 
-    /** What another attempt of a message may do. */
+    /** The effect of running a message more than once. */
     enum Effect {
-        /** Repeating is harmless. */
+        /** Repeating the message is harmless. */
         SAFE,
-        /** The destination drops repeats of the key for a time, within a group of endpoints. */
+        /** The destination drops repeats of the message's key for a time, at all its endpoints or within one zone. */
         KEYED,
-        /** It must not run twice. */
+        /** The message must not run twice. */
         UNSAFE
     }
 
     /**
-     * What an instance knows. All times are in milliseconds and relative to when it was taken, so that they
-     * mean the same on another clock. The counts are those of the throttles' last period.
+     * The state of an instance, as one process passes it to the next. All times are in milliseconds and relative to the
+     * moment of the snapshot, so that they mean the same on another clock.
+     *
+     * @param keyRests for each key in quarantine, the time until its quarantine ends
+     * @param firstSends first sends in the last period of the throttles
+     * @param copies hedged attempts in that period
+     * @param retries retry rounds in that period
      */
     record Snapshot(List<EndpointSnapshot> endpoints, List<MessageSnapshot> messages, Map<String, Double> keyRests,
                   int firstSends, int copies, int retries) {
     }
 
-    /** Events, weighed by age, over the time in which they were watched. */
+    /** A rate: the number of events, weighted by age, and the time over which they were counted. */
     record RateSnapshot(double events, double over) {
     }
 
-    /** The pace and wait of what shares one limit; it comes with each endpoint of it. */
+    /** The send rate and {@code Retry-After} of endpoints that share a limit; repeated with each of these endpoints. */
     record LimitSnapshot(int pressed, int lastSecond, double rate, double edge, double nextIn, double waitIn,
                        double cutIn, RateSnapshot sends) {
     }
 
-    /** An endpoint, listed or not, and its health. */
+    /** An endpoint, whether or not it is still listed, and its health. */
     record EndpointSnapshot(Endpoint entry, String state, double latency, double deviation, double bad,
                           int silentCalls, int fruitless, double fruitlessIn, double lastGoodIn, double warmIn,
                           double nextIn, RateSnapshot carried, RateSnapshot demand, LimitSnapshot limit) {
     }
 
     /**
-     * An attempt; one that is out shares its call with those of the same call number. The endpoint is -1 where
-     * it was not known.
+     * An attempt. Those in flight ({@code out}) that have the same {@code call} number share a call. The endpoint is -1
+     * if it was not known.
      */
     record AttemptSnapshot(long endpoint, double sentIn, boolean mayHaveRun, boolean out, long call) {
     }
 
-    /** A message, with the time that is left, and its wave. */
+    /** A message with the time left until its deadline, its attempts and the number of its retry rounds (waves). */
     record MessageSnapshot(Message message, double notBeforeIn, int waves, boolean refused, boolean ended,
                          boolean unheard, int openCalls, List<AttemptSnapshot> attempts) {
-        /** The same, where its class has this number. */
+        /** The same state with another class number, for a process that numbers the classes differently. */
         public MessageSnapshot withClass(int messageClass) {
             Message renumbered = new Message(message.id(), messageClass, message.tenant(), message.key(),
                     message.timeLeftMs(), message.destination());
@@ -221,23 +243,23 @@
 
     /** How an attempt ended. */
     enum Outcome {
-        /** Delivered. */
+        /** The message was delivered. */
         DELIVERED(false),
-        /** Answered with an error; it may have run. */
+        /** The endpoint answered with an error; the message may have run. */
         ERROR(true),
-        /** Turned away unseen: over the limit, queue full or shut. */
+        /** Refused without being processed: rate limit exceeded, queue full, or endpoint unavailable. */
         FULL(false),
-        /** Turned away unseen: the endpoint has no room for another connection, whatever its limit allows. */
+        /** Refused without being processed: the endpoint has no room for another connection, whatever its limit. */
         NO_CONNECTION(false),
-        /** No answer in time; it may have run or still do so. */
+        /** No answer in time; the message may have run or still be running. */
         TIMED_OUT(true),
-        /** No connection was made. */
+        /** No connection was established. */
         UNREACHABLE(false),
-        /** The connection broke while the attempt was out; it may have run. */
+        /** The connection broke while the attempt was in flight; the message may have run. */
         BROKEN(true),
-        /** Cancelled; it may have run. */
+        /** The attempt was cancelled; the message may have run. */
         CANCELLED(true),
-        /** Never sent: no slot was free, or the message was over. */
+        /** The attempt was never sent: no slot was free, or the message had ended. */
         NOT_SENT(false);
 
         private final boolean mayHaveRun;
@@ -246,62 +268,78 @@
             this.mayHaveRun = mayHaveRun;
         }
 
-        /** True where the end leaves open whether the message took effect, unless it was delivered. */
+        /** Whether an attempt with this outcome may have taken effect although no delivery is confirmed. */
         public boolean mayHaveRun() {
             return mayHaveRun;
         }
 
-        /** True where the endpoint answered that it does not take the message now. */
+        /** Whether the endpoint answered that it doesn't accept the message now. */
         public boolean isRefusal() {
             return this == FULL || this == NO_CONNECTION;
         }
     }
 
     /**
-     * One entry of the list; the endpoints of a destination are the only ones that its messages may go to.
+     * One entry of the list of endpoints. A message may be sent only to endpoints of its destination.
+     *
+     * @param serving false while the endpoint drains
+     * @param listedRate calls a second that the endpoint accepts from all senders, or 0 if none is listed
      */
     record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate) {
-        /** A rate that makes no sense counts as none listed. */
+        /** A listed rate that is negative or not a number counts as none. */
         public Endpoint {
             listedRate = listedRate > 0 ? listedRate : 0;
         }
     }
 
     /**
-     * A message as it was taken. {@code timeLeftMs} is what is left of its class's deadline; {@code key} is
-     * set for classes that keep an order.
+     * A message as it was accepted.
+     *
+     * @param key the ordering key, for classes whose messages go out in order
+     * @param timeLeftMs the time left until the message's deadline
      */
     record Message(long id, int messageClass, int tenant, Optional<String> key, double timeLeftMs,
             long destination) {
     }
 
-    /** An attempt made in an earlier life; {@code sentAt} is on this life's clock, mostly before its start. */
+    /** An attempt made before a restart; {@code sentAt} is on the clock of this process, mostly before its start. */
     record EarlierAttempt(long endpoint, double sentAt, boolean mayHaveRun) {
     }
 
     /**
-     * The end of one attempt. {@code messageEnded} tells that the message needs no further answer; {@code retryAfterMs}
-     * is the wait that a full destination told, or 0. {@code callInFlight} tells that its call is still out for other
-     * messages: {@link DeliveryPolicy#callEnded} follows.
+     * The end of one attempt.
+     *
+     * @param tookMs the time from the send to the end
+     * @param messageEnded whether the message needs no further answer
+     * @param retryAfterMs the {@code Retry-After} of a destination that refused the message, or 0
+     * @param callInFlight whether the call is still in flight for other messages; if so, {@link
+     *     DeliveryPolicy#callEnded} follows
      */
     record AttemptEnd(long message, int attempt, Outcome outcome, double tookMs, boolean messageEnded,
             double retryAfterMs, boolean callInFlight) {
     }
 
-    /** What worth falls to after the aim: evenly to the last, or by half with each further aim. */
+    /** How the worth of a message falls once its latency target has passed. */
     enum Decay {
-        /** Evenly, down to the late worth at the deadline. */
+        /** Linearly, down to the late worth at the deadline. */
         LINEAR,
-        /** By half with each further aim, the late worth at least. */
+        /** By half with each further period of the target's length, but not below the late worth. */
         HALVING
     }
 
     /**
-     * A class of message; times in milliseconds. {@code sameZone}: repeats are dropped within one zone only.
+     * A class of messages.
+     *
+     * @param latencyTargetMs the time within which a message keeps its full worth
+     * @param worth the value of a message that is delivered within the target
+     * @param lateWorth the share of the worth that is left at the end of {@link Decay}
+     * @param sameZone whether repeats of a key are dropped within one zone only
+     * @param dedupWindowMs how long after the first attempt repeats of a key are dropped
+     * @param inOrder whether messages of one key are sent in the order in which they were accepted
      */
     record MessageClass(double latencyTargetMs, double deadlineMs, double worth, double lateWorth, Effect effect,
                         boolean sameZone, double dedupWindowMs, boolean inOrder) {
-        /** What a message is worth that is delivered so long after its aim, and before its deadline. */
+        /** The worth of a message delivered {@code lateMs} after its latency target and before its deadline. */
         double worthWhenLate(double lateMs, Decay decay) {
             double share = decay == Decay.HALVING ? Math.max(lateWorth, Math.pow(0.5, lateMs / latencyTargetMs))
                     : 1 - (1 - lateWorth) * lateMs / Math.max(1, deadlineMs - latencyTargetMs);
@@ -310,27 +348,40 @@
     }
 
     /**
-     * A kind of destination: whether its endpoints are separate routes, and how many messages one call
-     * carries.
+     * A kind of destination.
+     *
+     * @param separateRoutes whether each endpoint has a limit of its own; else all endpoints share one
+     * @param batch the most messages that one call carries
      */
     record Kind(boolean separateRoutes, int batch) {
     }
 
     /**
-     * How a destination that returns from an outage must be treated; see the rule on returning destinations.
+     * The slow start that a destination needs when it returns from an outage. While it is cold, more calls within
+     * {@code overloadMs} than {@code overloadMultiple} times what its capacity then allows overload it.
+     *
+     * @param startCapacity the share of its full capacity that the destination has when it returns
+     * @param warmMs the time in which its capacity grows from there to the full one
      */
     record ColdStart(double startCapacity, double warmMs, double overloadMultiple, double overloadMs) {
     }
 
     /**
-     * All settings of a deployment and a sender; {@code zoneFees} are by zone, for separate routes, and
-     * {@code ratesListed} tells that the list's rates mean something; a connection without use closes after
-     * {@code keepAliveMs}.
+     * All settings of a deployment and a sender.
+     *
+     * @param ratesListed whether the rates in the list of endpoints are meaningful
+     * @param zoneFees the fee of a call to a separate route, by zone
+     * @param senders the number of senders in the deployment
+     * @param slots the most calls that this sender has in flight
+     * @param hedging whether a further attempt may start while one of the message is in flight
+     * @param cancels whether redundant attempts are cancelled
+     * @param keyQuarantineMs how long a key is not dispatched after an attempt of it that may still be running
+     * @param keepAliveMs the time after which an idle connection is closed
      */
     record Settings(List<MessageClass> classes, List<Kind> kinds, boolean ratesListed, Decay decay,
                     List<Double> zoneFees, int senders, int slots, int maxAttempts, boolean hedging,
                     boolean cancels, double keyQuarantineMs, double keepAliveMs, ColdStart coldStart) {
-        /** Checks what no deployment can mean. */
+        /** Rejects values that are impossible in any deployment. */
         public Settings {
             if (classes.isEmpty() || kinds.isEmpty()) {
                 throw new IllegalArgumentException("settings need at least one class and one kind");
--- a/src/main/java/starlingvalve/SimulatorAdapter.java
+++ b/src/main/java/starlingvalve/SimulatorAdapter.java
@@ -15,7 +15,10 @@
 import java.util.OptionalDouble;
 import java.util.Set;
 
-/** The adapter: the simulator's wire to {@link DeliveryPolicy} and back, for many instances. It decides nothing. */
+/**
+ * Translates between the simulator's line protocol and {@link DeliveryPolicy}, for any number of policy instances. It
+ * makes no decisions of its own.
+ */
 final class SimulatorAdapter {
     private final BufferedReader in;
     private final PrintStream out;
@@ -32,12 +35,12 @@
         this.err = err;
     }
 
-    /** Answers batches until input ends; returns the exit code: 0, or 1 after input that can't be read. */
+    /** Answers batches until the input ends; returns the exit code: 0, or 1 after input that can't be parsed. */
     int run() {
         try {
             for (String line = nextLine(); line != null; line = nextLine()) {
                 if (!line.isEmpty()) {
-                    batch(new Fields(line));
+                    processBatch(new Fields(line));
                 }
             }
             return 0;
@@ -52,11 +55,11 @@
         return in.readLine();
     }
 
-    private void batch(Fields head) throws IOException, InvalidInputException {
+    private void processBatch(Fields head) throws IOException, InvalidInputException {
         head.expect("BATCH");
         now = head.number("clock");
-        long batch = head.whole("batch");
-        Set<String> touched = new LinkedHashSet<>();
+        long batch = head.wholeNumber("batch");
+        Set<String> instancesWithEvents = new LinkedHashSet<>();
         reply.setLength(0);
         for (String line = nextLine(); !"FLUSH".equals(line); line = nextLine()) {
             if (line == null) {
@@ -65,51 +68,51 @@
             Fields fields = new Fields(line);
             String name = fields.text("event");
             if (name.equals("ROSTER")) {
-                roster(fields);
+                readList(fields);
                 continue;
             }
             String instance = fields.text("instance");
             if (name.equals("KILLED")) {
                 instances.remove(instance);
-                touched.remove(instance);
+                instancesWithEvents.remove(instance);
                 continue;
             }
-            Runnable event = event(name, instance, fields);
-            touched.add(instance);
-            guarded(instance, event);
+            Runnable event = parseEvent(name, instance, fields);
+            instancesWithEvents.add(instance);
+            reportingFaults(instance, event);
         }
-        for (String instance : touched) {
-            guarded(instance, () -> policy(instance).endTurn(now));
+        for (String instance : instancesWithEvents) {
+            reportingFaults(instance, () -> policy(instance).endTurn(now));
         }
         out.print(reply);
         out.print("YIELD " + batch + "\n");
         out.flush();
     }
 
-    /** An exception in the module becomes the wire's fault action, with its text on one line. */
-    private void guarded(String instance, Runnable event) {
+    /** Runs an event; an exception thrown by the policy is reported as a {@code BUG} action, its text on one line. */
+    private void reportingFaults(String instance, Runnable event) {
         try {
             event.run();
         } catch (RuntimeException e) {
-            action("BUG", instance, e.toString().replaceAll("\\s+", " "));
+            writeAction("BUG", instance, e.toString().replaceAll("\\s+", " "));
         }
     }
 
-    private Runnable event(String name, String instance, Fields f) throws InvalidInputException {
+    private Runnable parseEvent(String name, String instance, Fields fields) throws InvalidInputException {
         switch (name) {
             case "SPAWN": {
-                long seed = f.whole("entropy");
-                DeliveryPolicy.Settings settings = f.pairs().settings();
-                return () -> instances.put(instance, DeliveryPolicy.create(settings, seed, new Wire(instance)));
+                long seed = fields.wholeNumber("entropy");
+                DeliveryPolicy.Settings settings = fields.settingsParser().settings();
+                return () -> instances.put(instance, DeliveryPolicy.create(settings, seed, new ActionWriter(instance)));
             }
             case "UPDATE":
-                return update(instance, f);
+                return parseUpdate(instance, fields);
             case "SUBMIT":
-                return submit(instance, f);
+                return parseSubmit(instance, fields);
             case "ATTEMPT_END":
-                return attemptEnd(instance, f);
+                return parseAttemptEnd(instance, fields);
             case "CLIENT_LEFT": {
-                long message = f.whole("req");
+                long message = fields.wholeNumber("req");
                 return () -> policy(instance).messageWithdrawn(now, message);
             }
             case "TIMER":
@@ -131,80 +134,82 @@
         return policy;
     }
 
-    private void roster(Fields f) throws IOException, InvalidInputException {
-        int list = f.index("list");
-        long count = f.whole("entries");
-        List<DeliveryPolicy.Endpoint> rows = new ArrayList<>();
+    private void readList(Fields fields) throws IOException, InvalidInputException {
+        int listNumber = fields.index("list");
+        long count = fields.wholeNumber("entries");
+        List<DeliveryPolicy.Endpoint> endpoints = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = nextLine();
             if (line == null) {
-                throw new InvalidInputException("input ends inside list " + list);
+                throw new InvalidInputException("input ends inside list " + listNumber);
             }
             Fields row = new Fields(line);
             row.expect("ROW");
-            long id = row.whole("endpoint");
+            long id = row.wholeNumber("endpoint");
             int zone = row.index("failure_domain");
             int kind = row.index("kind");
-            long destination = row.whole("belongs_to");
+            long destination = row.wholeNumber("belongs_to");
             String condition = row.text("condition");
             double rate = row.numberOr("scale", 0);
-            rows.add(new DeliveryPolicy.Endpoint(id, destination, kind, zone, condition.equals("SERVING"), rate));
+            endpoints.add(
+                    new DeliveryPolicy.Endpoint(id, destination, kind, zone, condition.equals("SERVING"), rate));
         }
-        lists.put(list, rows);
+        lists.put(listNumber, endpoints);
     }
 
-    private Runnable update(String instance, Fields f) throws InvalidInputException {
-        String mode = f.text("mode");
+    private Runnable parseUpdate(String instance, Fields fields) throws InvalidInputException {
+        String mode = fields.text("mode");
         if (mode.equals("refused")) {
             return () -> policy(instance).wake(now);
         }
-        f.text("serial");
-        List<DeliveryPolicy.Endpoint> entries = lists.get(f.index("list"));
+        fields.text("serial");
+        List<DeliveryPolicy.Endpoint> entries = lists.get(fields.index("list"));
         if (entries == null) {
             throw new InvalidInputException("UPDATE names a list that was not given");
         }
-        boolean whole = switch (mode) {
+        boolean wholeList = switch (mode) {
             case "all", "remembered" -> true;
             case "changes" -> false;
             default -> throw new InvalidInputException("unknown list mode " + mode);
         };
-        return () -> policy(instance).endpoints(now, whole, entries);
+        return () -> policy(instance).endpoints(now, wholeList, entries);
     }
 
-    private Runnable submit(String instance, Fields f) throws InvalidInputException {
-        long id = f.whole("req");
-        int messageClass = f.index("kind");
-        int tenant = (int) f.numberOr("billing", 0);
-        Optional<String> key = f.optional("affinity");
-        double left = f.number("time_left_ms");
-        f.text("predicted_ms");
-        long destination = f.whole("to_dest");
-        DeliveryPolicy.Message message = new DeliveryPolicy.Message(id, messageClass, tenant, key, left, destination);
+    private Runnable parseSubmit(String instance, Fields fields) throws InvalidInputException {
+        long id = fields.wholeNumber("req");
+        int messageClass = fields.index("kind");
+        int tenant = (int) fields.numberOr("billing", 0);
+        Optional<String> key = fields.optional("affinity");
+        double timeLeftMs = fields.number("time_left_ms");
+        fields.text("predicted_ms");
+        long destination = fields.wholeNumber("to_dest");
+        DeliveryPolicy.Message message =
+                new DeliveryPolicy.Message(id, messageClass, tenant, key, timeLeftMs, destination);
         return () -> {
-            OptionalDouble away = policy(instance).admissionRetryAfter(now, message);
-            if (away.isPresent()) {
-                action("BOUNCE", instance, id, away.getAsDouble());
+            OptionalDouble retryAfterMs = policy(instance).admissionRetryAfter(now, message);
+            if (retryAfterMs.isPresent()) {
+                writeAction("BOUNCE", instance, id, retryAfterMs.getAsDouble());
             } else {
                 policy(instance).messageAccepted(now, message);
             }
         };
     }
 
-    private Runnable attemptEnd(String instance, Fields f) throws InvalidInputException {
-        long message = f.whole("req");
-        int attempt = f.index("round_no");
-        f.text("endpoint");
-        DeliveryPolicy.Outcome outcome = outcome(f.text("state_code"));
-        double took = f.number("wait_time_ms");
-        boolean messageEnded = f.whole("no_more") != 0;
-        double note = f.numberOr("hold_ms", 0);
-        double wait = outcome == DeliveryPolicy.Outcome.FULL ? note : 0;
-        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, took, messageEnded, wait,
-                false);
+    private Runnable parseAttemptEnd(String instance, Fields fields) throws InvalidInputException {
+        long message = fields.wholeNumber("req");
+        int attempt = fields.index("round_no");
+        fields.text("endpoint");
+        DeliveryPolicy.Outcome outcome = parseOutcome(fields.text("state_code"));
+        double tookMs = fields.number("wait_time_ms");
+        boolean messageEnded = fields.wholeNumber("no_more") != 0;
+        double holdMs = fields.numberOr("hold_ms", 0);
+        double retryAfterMs = outcome == DeliveryPolicy.Outcome.FULL ? holdMs : 0;
+        DeliveryPolicy.AttemptEnd end = new DeliveryPolicy.AttemptEnd(message, attempt, outcome, tookMs, messageEnded,
+                retryAfterMs, false);
         return () -> policy(instance).attemptEnded(now, end);
     }
 
-    private static DeliveryPolicy.Outcome outcome(String code) throws InvalidInputException {
+    private static DeliveryPolicy.Outcome parseOutcome(String code) throws InvalidInputException {
         return switch (code) {
             case "success" -> DeliveryPolicy.Outcome.DELIVERED;
             case "failure" -> DeliveryPolicy.Outcome.ERROR;
@@ -218,7 +223,7 @@
         };
     }
 
-    private void action(String name, String instance, Object... values) {
+    private void writeAction(String name, String instance, Object... values) {
         reply.append(name).append(' ').append(instance);
         for (Object value : values) {
             reply.append(' ').append(value);
@@ -226,131 +231,131 @@
         reply.append('\n');
     }
 
-    /** The actions of one instance, written as lines of the reply. */
-    private final class Wire implements DeliveryPolicy.Actions {
+    /** Writes the actions of one instance as lines of the reply. */
+    private final class ActionWriter implements DeliveryPolicy.Actions {
         private final String instance;
 
-        Wire(String instance) {
+        ActionWriter(String instance) {
             this.instance = instance;
         }
 
         @Override
         public void send(long message, long endpoint, double timeoutMs) {
-            action("SUBMIT_TO", instance, message, timeoutMs, endpoint);
+            writeAction("SUBMIT_TO", instance, message, timeoutMs, endpoint);
         }
 
         @Override
         public void cancel(long message, int attempt) {
-            action("UNDO_SEND", instance, message, attempt);
+            writeAction("UNDO_SEND", instance, message, attempt);
         }
 
         @Override
         public void closeIdle(long endpoint) {
-            action("HANG_UP", instance, endpoint);
+            writeAction("HANG_UP", instance, endpoint);
         }
 
         @Override
         public boolean refuse(long message, double retryAfterMs) {
-            action("BOUNCE", instance, message, retryAfterMs);
+            writeAction("BOUNCE", instance, message, retryAfterMs);
             return true;
         }
 
         @Override
         public boolean fail(long message) {
-            action("DROP_REQUEST", instance, message);
+            writeAction("DROP_REQUEST", instance, message);
             return true;
         }
 
         @Override
         public void wakeAt(double time) {
-            action("NOTIFY_ME", instance, time, 0);
+            writeAction("NOTIFY_ME", instance, time, 0);
         }
 
         @Override
         public void log(String text) {
-            action("DEBUG", instance, text);
+            writeAction("DEBUG", instance, text);
         }
     }
 
-    /** The parts of one line, taken in order. */
+    /** Reads the space-separated fields of one line, one after the other. */
     private static final class Fields {
         private final String line;
-        private int at;
+        private int position;
 
         Fields(String line) {
             this.line = line;
         }
 
         String text(String field) throws InvalidInputException {
-            if (at > line.length() || line.isEmpty()) {
+            if (position > line.length() || line.isEmpty()) {
                 throw new InvalidInputException("field " + field + " is missing");
             }
-            int end = line.indexOf(' ', at);
+            int end = line.indexOf(' ', position);
             end = end < 0 ? line.length() : end;
-            String part = line.substring(at, end);
-            at = end + 1;
-            if (part.isEmpty()) {
+            String value = line.substring(position, end);
+            position = end + 1;
+            if (value.isEmpty()) {
                 throw new InvalidInputException("field " + field + " is empty");
             }
-            return part;
+            return value;
         }
 
-        void expect(String word) throws InvalidInputException {
+        void expect(String expected) throws InvalidInputException {
             String found = text("name");
-            if (!found.equals(word)) {
-                throw new InvalidInputException("expected " + word + ", found " + found);
+            if (!found.equals(expected)) {
+                throw new InvalidInputException("expected " + expected + ", found " + found);
             }
         }
 
         Optional<String> optional(String field) throws InvalidInputException {
-            String part = text(field);
-            return part.equals("-") ? Optional.empty() : Optional.of(part);
+            String value = text(field);
+            return value.equals("-") ? Optional.empty() : Optional.of(value);
         }
 
         double number(String field) throws InvalidInputException {
-            String part = text(field);
+            String value = text(field);
             try {
-                return Double.parseDouble(part);
+                return Double.parseDouble(value);
             } catch (NumberFormatException e) {
-                throw new InvalidInputException("field " + field + " is not a number: " + part);
+                throw new InvalidInputException("field " + field + " is not a number: " + value);
             }
         }
 
         double numberOr(String field, double absent) throws InvalidInputException {
-            int from = at;
+            int start = position;
             if (optional(field).isEmpty()) {
                 return absent;
             }
-            at = from;
+            position = start;
             return number(field);
         }
 
-        long whole(String field) throws InvalidInputException {
-            String part = text(field);
+        long wholeNumber(String field) throws InvalidInputException {
+            String value = text(field);
             try {
-                return Long.parseLong(part);
+                return Long.parseLong(value);
             } catch (NumberFormatException e) {
-                throw new InvalidInputException("field " + field + " is not a whole number: " + part);
+                throw new InvalidInputException("field " + field + " is not a whole number: " + value);
             }
         }
 
         int index(String field) throws InvalidInputException {
-            long value = whole(field);
+            long value = wholeNumber(field);
             if (value < 0 || value > Integer.MAX_VALUE) {
                 throw new InvalidInputException("field " + field + " is out of range: " + value);
             }
             return (int) value;
         }
 
-        SettingsParser pairs() throws InvalidInputException {
+        SettingsParser settingsParser() throws InvalidInputException {
             Map<String, String> values = new HashMap<>();
-            while (at < line.length()) {
+            while (position < line.length()) {
                 String pair = text("setting");
-                int cut = pair.indexOf('=');
-                if (cut < 1) {
+                int separator = pair.indexOf('=');
+                if (separator < 1) {
                     throw new InvalidInputException("setting without a value: " + pair);
                 }
-                values.put(pair.substring(0, cut), pair.substring(cut + 1));
+                values.put(pair.substring(0, separator), pair.substring(separator + 1));
             }
             return new SettingsParser(values);
         }
