--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -956,7 +956,8 @@
 
         /** Each message of a call may be told its own wait, in turns of its own. */
         void told(double retryAfterMs) {
-            waitUntil = retryAfterMs > 0 ? Math.max(waitUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : waitUntil;
+            waitUntil = retryAfterMs > 0
+                    ? Math.max(waitUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : waitUntil;
         }
 
         /**
--- a/src/test/java/starlingvalve/FleetTest.java
+++ b/src/test/java/starlingvalve/FleetTest.java
@@ -138,7 +138,8 @@
     }
 
     /**
-     * Submits a short-lived message each second for a minute, and with each fourth one that lives longer and is worth more.
+     * Submits a short-lived message each second for a minute, and with each fourth one that lives longer and is worth
+     * more.
      */
     private static Runnable submitEachSecond(PolicyHarness harness, int second) {
         return () -> {
