--- a/src/main/java/starlingvalve/DeliveryPolicy.java
+++ b/src/main/java/starlingvalve/DeliveryPolicy.java
@@ -197,7 +197,8 @@
 
     /**
      * The state of an instance, as one process passes it to the next. All times are in milliseconds and relative to the
-     * moment of the snapshot, so that they mean the same on another clock.
+     * moment of the snapshot, so that they mean the same on another clock. Components whose names end in {@code In} are
+     * points in time, negative if they have passed.
      *
      * @param keyRests for each key in quarantine, the time until its quarantine ends
      * @param firstSends first sends in the last period of the throttles
@@ -212,12 +213,38 @@
     record RateSnapshot(double events, double over) {
     }
 
-    /** The send rate and {@code Retry-After} of endpoints that share a limit; repeated with each of these endpoints. */
+    /**
+     * The send rate and {@code Retry-After} of endpoints that share a limit; repeated with each of these endpoints.
+     *
+     * @param pressed recent refusals that have not been offset by deliveries
+     * @param lastSecond calls in the last second
+     * @param rate the rate at which calls may be sent, in calls a millisecond
+     * @param edge the rate at which the last refusal came
+     * @param nextIn when the rate allows the next call
+     * @param waitIn when the {@code Retry-After} ends
+     * @param cutIn when the rate was last lowered
+     * @param sends the rate of actual sends
+     */
     record LimitSnapshot(int pressed, int lastSecond, double rate, double edge, double nextIn, double waitIn,
                        double cutIn, RateSnapshot sends) {
     }
 
-    /** An endpoint, whether or not it is still listed, and its health. */
+    /**
+     * An endpoint, whether or not it is still listed, and its health.
+     *
+     * @param state the name of the health state: up, down or warming
+     * @param latency the mean time of an answer
+     * @param deviation the deviation from that mean
+     * @param bad the evidence that the endpoint is unhealthy, from 0 to 1
+     * @param silentCalls overdue calls since the last answer
+     * @param fruitless ends of calls in a row without a delivery
+     * @param fruitlessIn when the first of these came
+     * @param lastGoodIn when the last delivery came
+     * @param warmIn when slow start began
+     * @param nextIn when the health allows the next call
+     * @param carried the rate of deliveries by the endpoint
+     * @param demand the rate of messages for its destination
+     */
     record EndpointSnapshot(Endpoint entry, String state, double latency, double deviation, double bad,
                           int silentCalls, int fruitless, double fruitlessIn, double lastGoodIn, double warmIn,
                           double nextIn, RateSnapshot carried, RateSnapshot demand, LimitSnapshot limit) {
@@ -226,11 +253,21 @@
     /**
      * An attempt. Those in flight ({@code out}) that have the same {@code call} number share a call. The endpoint is -1
      * if it was not known.
+     *
+     * @param sentIn when it was sent
      */
     record AttemptSnapshot(long endpoint, double sentIn, boolean mayHaveRun, boolean out, long call) {
     }
 
-    /** A message with the time left until its deadline, its attempts and the number of its retry rounds (waves). */
+    /**
+     * A message with the time left until its deadline, and its attempts.
+     *
+     * @param notBeforeIn when its next round may start
+     * @param waves the number of its retry rounds
+     * @param refused whether the attempt that ended last was refused
+     * @param unheard whether it has ended and its end is not acknowledged
+     * @param openCalls calls still in flight in which an attempt of it has ended
+     */
     record MessageSnapshot(Message message, double notBeforeIn, int waves, boolean refused, boolean ended,
                          boolean unheard, int openCalls, List<AttemptSnapshot> attempts) {
         /** The same state with another class number, for a process that numbers the classes differently. */
--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -955,9 +955,8 @@
         }
 
         /** Each message of a call may be told its own wait, in turns of its own. */
-        void told(double retryAfterMs) {
-            waitUntil = retryAfterMs > 0
-                    ? Math.max(waitUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : waitUntil;
+        void told(double waitMs) {
+            waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
         }
 
         /**
