--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -134,7 +134,7 @@
         this.hedgeThrottle = newThrottle(HEDGE_BASE, HEDGE_SHARE);
         this.retryThrottle = newThrottle(RETRY_BASE, RETRY_SHARE);
         this.random = new Random(seed);
-        this.keyOrder = new KeyOrder(settings.keyRestMs(), () -> clock, timers);
+        this.keyOrder = new KeyOrder(settings.keyQuarantineMs(), () -> clock, timers);
     }
 
     private Throttle newThrottle(double base, double share) {
@@ -165,13 +165,13 @@
     }
 
     @Override
-    public Set<Long> open() {
+    public Set<Long> openMessages() {
         return deliveries.values().stream().filter(delivery -> !delivery.ended)
                 .map(delivery -> delivery.message.id()).collect(Collectors.toSet());
     }
 
     @Override
-    public void handingOver(double now, double pauseMs) {
+    public void handoverStarting(double now, double pauseMs) {
         advanceClock(now);
         for (Delivery delivery : List.copyOf(queue)) {
             if (delivery.deadline - clock <= Math.min(pauseMs, HANDOVER_SHARE * delivery.type.deadlineMs())) {
@@ -181,7 +181,7 @@
     }
 
     @Override
-    public Snapshot memory(double now) {
+    public Snapshot snapshot(double now) {
         advanceClock(now);
         Map<Call, Long> calls = new LinkedHashMap<>();
         return new Snapshot(endpointsById.values().stream().map(EndpointState::snapshot).toList(),
@@ -190,7 +190,7 @@
     }
 
     @Override
-    public void remember(double now, double takenAt, Snapshot snapshot) {
+    public void restore(double now, double takenAt, Snapshot snapshot) {
         advanceClock(now);
         snapshot.endpoints().forEach(e -> endpointFor(e.entry()).restore(e, takenAt));
         firstSends.restore(snapshot.firstSends(), clock);
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void maintenance(double now, long endpointId, boolean out) {
+    public void setMaintenance(double now, long endpointId, boolean out) {
         advanceClock(now);
         boolean changed = out ? inMaintenance.add(endpointId) : inMaintenance.remove(endpointId);
         EndpointState endpoint = endpointsById.get(endpointId);
@@ -268,20 +268,20 @@
     }
 
     @Override
-    public boolean avoids(long endpointId) {
+    public boolean isExcluded(long endpointId) {
         EndpointState endpoint = endpointsById.get(endpointId);
         return inMaintenance.contains(endpointId) || endpoint != null && endpoint.circuit == Circuit.DOWN;
     }
 
     @Override
-    public void message(double now, Message message) {
+    public void messageAccepted(double now, Message message) {
         advanceClock(now);
         accept(message).destination.demand.add();
     }
 
     /** An accepted message is kept as long as possible; a rejected one may find room at another sender. */
     @Override
-    public OptionalDouble turnsAway(double now, Message message) {
+    public OptionalDouble admissionRetryAfter(double now, Message message) {
         advanceClock(now);
         Delivery delivery = new Delivery(message, clock);
         if (clock < delivery.deadline - ANSWER_MARGIN_MS && !delivery.destination.queueOutlasts(delivery)) {
@@ -293,7 +293,7 @@
 
     /** Adds no demand: recovered messages arrive at once, but were submitted over an unknown time. */
     @Override
-    public void resumed(double now, Message message, List<EarlierAttempt> attempts) {
+    public void messageRecovered(double now, Message message, List<EarlierAttempt> attempts) {
         advanceClock(now);
         Delivery delivery = accept(message);
         for (EarlierAttempt earlier : attempts) {
@@ -310,7 +310,7 @@
     }
 
     @Override
-    public void closing(double now, double end) {
+    public void shutdownScheduled(double now, double end) {
         advanceClock(now);
         callsEndBy = end;
     }
@@ -343,12 +343,12 @@
         delivery.lastRefused = end.outcome().isRefusal();
         delivery.attemptsInFlight--;
         attempt.call.ifPresent(call -> call.attemptEnded(end));
-        if (end.open()) {
+        if (end.callInFlight()) {
             delivery.openCalls++;
         } else {
             keyOrder.callEnded(delivery, end.outcome());
         }
-        if (end.finished()) {
+        if (end.messageEnded()) {
             endMessage(delivery);
         }
         if (delivery.ended) {
@@ -359,13 +359,13 @@
     }
 
     @Override
-    public void waitTold(double now, long endpointId, double waitMs) {
+    public void retryAfterReceived(double now, long endpointId, double retryAfterMs) {
         advanceClock(now);
-        Optional.ofNullable(endpointsById.get(endpointId)).ifPresent(e -> e.limiter.applyRetryAfter(waitMs));
+        Optional.ofNullable(endpointsById.get(endpointId)).ifPresent(e -> e.limiter.applyRetryAfter(retryAfterMs));
     }
 
     @Override
-    public boolean mayStart(double now, long message, int attempt) {
+    public boolean mayBeginAttempt(double now, long message, int attempt) {
         advanceClock(now);
         Delivery delivery = deliveries.get(message);
         return delivery != null && !delivery.ended && delivery.attempts.get(attempt).endpoint
@@ -375,7 +375,7 @@
 
     /** Until the call closes its ended attempt can still run, so the key has to wait. */
     @Override
-    public void callClosed(double now, long message) {
+    public void callEnded(double now, long message) {
         advanceClock(now);
         Delivery delivery = deliveries.get(message);
         if (delivery == null || delivery.openCalls == 0) {
@@ -389,7 +389,7 @@
     }
 
     @Override
-    public void unheard(double now, Message message) {
+    public void endedUnacknowledged(double now, Message message) {
         advanceClock(now);
         Delivery delivery = new Delivery(message, clock);
         delivery.ended = true;
@@ -399,7 +399,7 @@
     }
 
     @Override
-    public void heard(double now, long message) {
+    public void endAcknowledged(double now, long message) {
         advanceClock(now);
         Optional.ofNullable(deliveries.get(message)).filter(d -> d.unacknowledged).ifPresent(delivery -> {
             delivery.unacknowledged = false;
@@ -409,13 +409,13 @@
     }
 
     @Override
-    public void withdrawn(double now, long message) {
+    public void messageWithdrawn(double now, long message) {
         advanceClock(now);
         Optional.ofNullable(deliveries.get(message)).ifPresent(this::endMessage);
     }
 
     @Override
-    public void confirming(double now, long message) {
+    public void endConfirmationPending(double now, long message) {
         advanceClock(now);
         Optional.ofNullable(deliveries.get(message)).filter(d -> !d.ended).ifPresent(delivery -> {
             delivery.unacknowledged = true;
@@ -469,7 +469,7 @@
                 ranked.add(delivery);
             }
         }
-        if (ranked.isEmpty() || !actions.mayCall()) {
+        if (ranked.isEmpty() || !actions.mayStartCalls()) {
             return;
         }
         ranked.sort(Comparator.comparingDouble((Delivery d) -> -d.rank)
@@ -523,11 +523,11 @@
             if (earlier == attempt || !earlier.inFlight && !earlier.mayHaveRun) {
                 continue;
             }
-            if (earlier.inFlight && !settings.copies() || delivery.type.effect() == Effect.UNSAFE) {
+            if (earlier.inFlight && !settings.hedging() || delivery.type.effect() == Effect.UNSAFE) {
                 return false;
             }
             if (delivery.type.effect() == Effect.KEYED
-                    && (clock > earlier.sentAt + delivery.type.windowMs() - WINDOW_MARGIN_MS
+                    && (clock > earlier.sentAt + delivery.type.dedupWindowMs() - WINDOW_MARGIN_MS
                     || delivery.type.sameZone() && endpoint != null && earlier.endpoint
                             .filter(e -> e.entry.zone() == endpoint.entry.zone()).isEmpty())) {
                 return false;
@@ -556,7 +556,7 @@
     }
 
     private void watch(Delivery delivery, Attempt attempt, Call call, boolean hedged) {
-        double delayMs = delivery.type.aimMs() * HEDGE_DELAY_SHARE;
+        double delayMs = delivery.type.latencyTargetMs() * HEDGE_DELAY_SHARE;
         timers.add(attempt.sentAt + delayMs, () -> hedgeDelayPassed(delivery, attempt, hedged));
         timers.add(attempt.sentAt + Math.max(delayMs, call.endpoint.overdueAfterMs()), call::checkOverdue);
     }
@@ -564,12 +564,12 @@
     /** Sends a hedge if the attempt is still in flight and neither a hedge itself nor hedged already. */
     private void hedgeDelayPassed(Delivery delivery, Attempt attempt, boolean hedged) {
         boolean mayHedge = attempt.inFlight && delivery.type.effect() != Effect.UNSAFE
-                && settings.copies() && !hedged;
+                && settings.hedging() && !hedged;
         if (!mayHedge || delivery.ended || slotsUsed >= settings.slots() || !hedgeThrottle.allows()) {
             return;
         }
         Optional<EndpointState> endpoint = chooseEndpoint(delivery, true);
-        if (endpoint.isPresent() && actions.mayCall()) {
+        if (endpoint.isPresent() && actions.mayStartCalls()) {
             sendAttempt(delivery, endpoint.get(), true);
         } else if (endpoint.isPresent()) {
             timers.add(clock + HEDGE_RECHECK_MS, () -> hedgeDelayPassed(delivery, attempt, hedged));
@@ -600,7 +600,7 @@
             endUndelivered(delivery);
         } else if (delivery.type.effect() == Effect.KEYED) {
             delivery.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min()
-                    .ifPresent(firstSentAt -> timers.add(firstSentAt + delivery.type.windowMs()
+                    .ifPresent(firstSentAt -> timers.add(firstSentAt + delivery.type.dedupWindowMs()
                             - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS, () -> endIfNotRetryable(delivery)));
         }
     }
@@ -677,7 +677,7 @@
             this.type = settings.classes().get(message.messageClass());
             this.destination = destinations.computeIfAbsent(message.destination(), id -> new Destination());
             this.deadline = at + message.timeLeftMs();
-            this.latencyTargetAt = deadline - type.deadlineMs() + type.aimMs();
+            this.latencyTargetAt = deadline - type.deadlineMs() + type.latencyTargetMs();
         }
 
         MessageSnapshot snapshot(Map<Call, Long> calls) {
@@ -788,7 +788,7 @@
         }
 
         void attemptEnded(AttemptEnd end) {
-            endpoint.limiter.applyRetryAfter(end.waitMs());
+            endpoint.limiter.applyRetryAfter(end.retryAfterMs());
             if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
                 observed = true;
                 endpoint.observe(this, end);
@@ -937,9 +937,9 @@
         }
 
         /** Each message of a call may have its own retry-after, in separate turns; the latest end counts. */
-        void applyRetryAfter(double waitMs) {
-            retryAfterUntil = waitMs > 0
-                    ? Math.max(retryAfterUntil, clock + waitMs + CLOCK_MARGIN_MS) : retryAfterUntil;
+        void applyRetryAfter(double retryAfterMs) {
+            retryAfterUntil = retryAfterMs > 0
+                    ? Math.max(retryAfterUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : retryAfterUntil;
         }
 
         /** Cuts the pacing rate, unless the refusal is outdated: the call was sent before the last cut. */
@@ -1141,7 +1141,7 @@
         }
 
         double timeoutMs(MessageClass type) {
-            double base = Math.max(type.aimMs() * TIMEOUT_TARGET_MULTIPLE,
+            double base = Math.max(type.latencyTargetMs() * TIMEOUT_TARGET_MULTIPLE,
                     latency.meanPlus(TIMEOUT_DEVIATIONS));
             double least = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_TIMEOUT_SHARE : 0;
             return Math.max(base, least);
@@ -1200,7 +1200,7 @@
         }
 
         private void callRefused(Call call, AttemptEnd end) {
-            if (addFailure(call) || end.waitMs() >= UNAVAILABLE_MS) {
+            if (addFailure(call) || end.retryAfterMs() >= UNAVAILABLE_MS) {
                 markDown("is shut");
             }
         }
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -67,7 +67,7 @@
     /** Decisions and events that the owner of the calls provides and receives; called on the event loop. */
     interface Callbacks {
         /** Whether a call may still be sent, by all that is known now. */
-        boolean mayStart(Call call);
+        boolean mayBeginAttempt(Call call);
 
         /** Runs a task once the list of endpoints is current enough to send calls by it: immediately if it is now. */
         default void runWhenListIsCurrent(Runnable task) {
@@ -91,7 +91,7 @@
          * An answer carries a Retry-After, which counts from now on; called when its head is read, and again once the
          * answer is complete.
          */
-        void waitTold(long endpoint, double retryAfterMs);
+        void retryAfterReceived(long endpoint, double retryAfterMs);
 
         /** Called when a request has been written completely; {@code messages}: how many messages it carries. */
         void written(int messages);
@@ -519,7 +519,7 @@
 
         /** Writes the request to an idle connection, waits for one to become reusable, or opens a new one. */
         private void start() {
-            abandonUnless(callbacks::mayStart);
+            abandonUnless(callbacks::mayBeginAttempt);
             if (dropAbandonedCalls()) {
                 return;
             }
@@ -574,7 +574,7 @@
          */
         private void startOn(Connection target) {
             if (target.isUsable()) {
-                abandonUnless(callbacks::mayStart);
+                abandonUnless(callbacks::mayBeginAttempt);
                 write(target);
             } else {
                 target.close(CloseReason.UNUSABLE);
@@ -708,7 +708,7 @@
          */
         private void reportRetryAfter() {
             if (retryAfterMs > 0) {
-                loop.execute(() -> callbacks.waitTold(peer.endpoint, retryAfterMs));
+                loop.execute(() -> callbacks.retryAfterReceived(peer.endpoint, retryAfterMs));
             }
         }
 
--- a/src/main/java/starlingvalve/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -30,9 +30,9 @@
     /**
      * Whether and when messages of a class may be sent again.
      *
-     * @param windowMs the time after the first attempt within which endpoints discard duplicates of a keyed message
+     * @param dedupWindowMs the time after the first attempt within which endpoints discard duplicates of a keyed message
      */
-    record RepeatPolicy(DeliveryPolicy.Effect effect, double windowMs) {
+    record RepeatPolicy(DeliveryPolicy.Effect effect, double dedupWindowMs) {
     }
 
     /** The end of a message may be acknowledged this long after its deadline. */
@@ -68,7 +68,7 @@
         }
         return switch (policy.get().effect()) {
             case UNSAFE -> forbid(Violation.REPEATED_ONCE_ONLY, message);
-            case KEYED -> clockMs.getAsLong() - firstSentMs <= policy.get().windowMs()
+            case KEYED -> clockMs.getAsLong() - firstSentMs <= policy.get().dedupWindowMs()
                     || forbid(Violation.REPEATED_AFTER_WINDOW, message);
             case SAFE -> true;
         };
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -267,7 +267,7 @@
         discovery.withdraw(journal.withdrawn());
         intake.drain(journal.drained());
         for (String endpoint : journal.maintained()) {
-            policy.maintenance(openTurn(), registry.number(endpoint), true);
+            policy.setMaintenance(openTurn(), registry.number(endpoint), true);
         }
         ownsJournal = true;
         ready = snapshot.isPresent();
@@ -285,7 +285,7 @@
             return Optional.empty();
         }
         DeliveryPolicy.MessageClass settings = config.settings().classes().get(classNumber);
-        return Optional.of(new MessageRules.RepeatPolicy(settings.effect(), settings.windowMs()));
+        return Optional.of(new MessageRules.RepeatPolicy(settings.effect(), settings.dedupWindowMs()));
     }
 
     /** Returns the journal records that the predecessor could not write to disk. */
@@ -361,7 +361,7 @@
                 accepted.acceptanceAcknowledged = acknowledged.test(accepted);
             }
         }
-        isolate(() -> policy.remember(openTurn(), turnTimeMs - ageMs, snapshot));
+        isolate(() -> policy.restore(openTurn(), turnTimeMs - ageMs, snapshot));
         Log.line(config.name() + " took over " + openMessages.size() + " messages, with " + predecessorCalls.size()
                 + " calls out");
         reconcile(ageMs);
@@ -386,7 +386,7 @@
      * here: messages that the policy lacks are recovered as after a restart, and it drops those that have ended.
      */
     private void reconcile(double ageMs) {
-        Set<Long> inPolicy = policy.open();
+        Set<Long> inPolicy = policy.openMessages();
         events.add("takeover", "age_ms", Math.round(ageMs), "open", openMessages.size(), "module", inPolicy.size(),
                 "calls", predecessorCalls.size(), "notices", notices.owed());
         long steadyNowMs = journal.clock().nowMs();
@@ -398,7 +398,7 @@
             }
         }
         inPolicy.stream().filter(number -> openMessages.find(number).isEmpty())
-                .forEach(number -> isolate(() -> policy.withdrawn(openTurn(), number)));
+                .forEach(number -> isolate(() -> policy.messageWithdrawn(openTurn(), number)));
     }
 
     /** The address at which this sender takes operators' requests. */
@@ -450,7 +450,7 @@
         notices.owe(accepted);
         int messageClass = config.classes().indexOf(accepted.messageClass);
         if (messageClass >= 0) {
-            isolate(() -> policy.unheard(openTurn(),
+            isolate(() -> policy.endedUnacknowledged(openTurn(),
                     policyMessage(accepted, messageClass, accepted.deadlineMs - steadyNowMs)));
         }
     }
@@ -484,7 +484,7 @@
         if (earlier.isEmpty()) {
             unattempted.found(accepted.number, leftMs);
         }
-        policy.resumed(now, policyMessage(accepted, messageClass, leftMs), earlier);
+        policy.messageRecovered(now, policyMessage(accepted, messageClass, leftMs), earlier);
     }
 
     /** Registers a message that this process must end from now on. */
@@ -499,7 +499,7 @@
      */
     private void giveUp(AcceptedMessage accepted, double waitMs) {
         endWithNotice(accepted, finalNotice(accepted, waitMs));
-        isolate(() -> policy.confirming(openTurn(), accepted.number));
+        isolate(() -> policy.endConfirmationPending(openTurn(), accepted.number));
     }
 
     /**
@@ -517,7 +517,7 @@
                 return;
             }
             events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told", accepted.acceptanceAcknowledged, "attempts",
-                    accepted.attempts.size(), "module", policy.open().contains(accepted.number));
+                    accepted.attempts.size(), "module", policy.openMessages().contains(accepted.number));
             giveUp(accepted, FAULT_RETRY_AFTER_MS);
         });
     }
@@ -602,7 +602,7 @@
     // ---- actions of the policy ----
 
     @Override
-    public boolean mayCall() {
+    public boolean mayStartCalls() {
         if (listLease.isValid()) {
             return true;
         }
@@ -689,8 +689,8 @@
     /** Callbacks of the endpoint connections. */
     private final class EndpointCallbacks implements Endpoints.Callbacks {
         @Override
-        public boolean mayStart(Endpoints.Call call) {
-            return policy.mayStart(now(), call.held.number, call.attempt);
+        public boolean mayBeginAttempt(Endpoints.Call call) {
+            return policy.mayBeginAttempt(now(), call.held.number, call.attempt);
         }
 
         @Override
@@ -780,8 +780,8 @@
         }
 
         @Override
-        public void waitTold(long endpoint, double waitMs) {
-            Runnable localAction = () -> isolate(() -> policy.waitTold(openTurn(), endpoint, waitMs));
+        public void retryAfterReceived(long endpoint, double waitMs) {
+            Runnable localAction = () -> isolate(() -> policy.retryAfterReceived(openTurn(), endpoint, waitMs));
             if (handover.leaving()) {
                 handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
                         localAction);
@@ -797,7 +797,7 @@
 
         @Override
         public void closed(Endpoints.Call call) {
-            Runnable localAction = () -> isolate(() -> policy.callClosed(openTurn(), call.held.number));
+            Runnable localAction = () -> isolate(() -> policy.callEnded(openTurn(), call.held.number));
             if (handover.leaving()) {
                 handover.tell(HandoverConnection.line("closed").put("message", call.held.number), localAction);
             } else {
@@ -838,9 +838,9 @@
         if (!accepted.ended) {
             markEnded(accepted, Stats.End.SERVED);
             events.add("confirming", "id", accepted.id, "attempts", accepted.attempts.size());
-            journal.confirming(accepted);
+            journal.endConfirmationPending(accepted);
             notices.owe(accepted);
-            isolate(() -> policy.confirming(openTurn(), accepted.number));
+            isolate(() -> policy.endConfirmationPending(openTurn(), accepted.number));
         }
     }
 
@@ -850,7 +850,7 @@
             confirmDelivery(accepted);
         } else if (!accepted.ended) {
             endByAnswer(accepted, FinishedMessage.Result.FAILED);
-            isolate(() -> policy.withdrawn(openTurn(), accepted.number));
+            isolate(() -> policy.messageWithdrawn(openTurn(), accepted.number));
         }
     }
 
@@ -872,7 +872,7 @@
         events.add("notice-heard", "id", accepted.id);
         rules.endAcknowledged(accepted);
         journal.ended(accepted);
-        isolate(() -> policy.heard(openTurn(), accepted.number));
+        isolate(() -> policy.endAcknowledged(openTurn(), accepted.number));
     }
 
     /**
@@ -1005,7 +1005,7 @@
                         journal.clock().nowMs() + budgetMs, submission.body());
         try {
             OptionalDouble rejectionDelayMs =
-                    policy.turnsAway(openTurn(), policyMessage(accepted, messageClass, budgetMs));
+                    policy.admissionRetryAfter(openTurn(), policyMessage(accepted, messageClass, budgetMs));
             if (rejectionDelayMs.isPresent()) {
                 return rejection(submission, "no time for it here", rejectionDelayMs.getAsDouble());
             }
@@ -1067,7 +1067,7 @@
         }
         int messageClass = config.classes().indexOf(accepted.messageClass);
         double leftMs = accepted.deadlineMs - journal.clock().nowMs();
-        isolate(() -> policy.message(openTurn(), policyMessage(accepted, messageClass, leftMs)));
+        isolate(() -> policy.messageAccepted(openTurn(), policyMessage(accepted, messageClass, leftMs)));
     }
 
     /** Carries out operators' commands. */
@@ -1080,7 +1080,7 @@
         @Override
         public String figures() {
             Set<Long> listed = registry.listed();
-            int excluded = (int) listed.stream().filter(policy::avoids).count();
+            int excluded = (int) listed.stream().filter(policy::isExcluded).count();
             return stats.text(new Stats.Gauges(openMessages.size(), listed.size(), excluded));
         }
 
@@ -1102,7 +1102,7 @@
                     () -> {
                         if (wasInMaintenance != inMaintenance) {
                             journal.maintained(endpoint, inMaintenance);
-                            policy.maintenance(openTurn(), number.getAsLong(), inMaintenance);
+                            policy.setMaintenance(openTurn(), number.getAsLong(), inMaintenance);
                         }
                     });
         }
@@ -1173,7 +1173,7 @@
             // Calls not written yet are the successor's to send. Their ends are queued ahead of the task below.
             new ArrayList<>(callsInFlight.values()).forEach(call -> isolate(() -> endpoints.cancelUnsent(call)));
             loop.execute(() -> {
-                isolate(() -> policy.handingOver(openTurn(), HANDOVER_PAUSE_MS));
+                isolate(() -> policy.handoverStarting(openTurn(), HANDOVER_PAUSE_MS));
                 notices.pause();
                 Optional<ObjectNode> state = handoverState();
                 if (state.isPresent()) {
@@ -1200,7 +1200,7 @@
                 openMessages.all().stream().filter(accepted -> !accepted.acceptanceAcknowledged)
                         .forEach(accepted -> unacknowledged.add(accepted.number));
                 state.set("list", discovery.list());
-                state.set("memory", HandoverConnection.JSON.valueToTree(policy.memory(openTurn())));
+                state.set("memory", HandoverConnection.JSON.valueToTree(policy.snapshot(openTurn())));
                 return Optional.of(state);
             } catch (RuntimeException e) {
                 FaultIsolation.report(e);
@@ -1248,7 +1248,7 @@
 
         /** Logs what this process holds at each step; the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
-            events.add("handover", "phase", phase, "open", openMessages.size(), "module", policy.open().size(), "calls",
+            events.add("handover", "phase", phase, "open", openMessages.size(), "module", policy.openMessages().size(), "calls",
                     callsInFlight.size(), "notices", notices.owed(), "closing", shuttingDown);
         }
     }
@@ -1360,7 +1360,7 @@
                         line.path("confirm").asBoolean(),
                         line.path("waitMs").asDouble(), line.path("tookMs").asDouble(),
                         line.path("open").asBoolean());
-                case "wait" -> isolate(() -> policy.waitTold(openTurn(), line.path("endpoint").asLong(),
+                case "wait" -> isolate(() -> policy.retryAfterReceived(openTurn(), line.path("endpoint").asLong(),
                         line.path("waitMs").asDouble()));
                 case "over" -> predecessorCalls.held(message).ifPresent(
                         accepted -> endByLateAnswer(accepted, line.path("delivered").asBoolean()));
@@ -1393,7 +1393,7 @@
 
         private void predecessorCallClosed(long message) {
             if (predecessorCalls.closed(message)) {
-                isolate(() -> policy.callClosed(openTurn(), message));
+                isolate(() -> policy.callEnded(openTurn(), message));
             }
         }
 
@@ -1450,7 +1450,7 @@
         public void gone() {
             Log.line("the old process is gone, with " + predecessorCalls.size() + " calls out");
             events.add("predecessor-gone", "calls", predecessorCalls.size(), "open", openMessages.size(), "module",
-                    policy.open().size(), "unanswered", unansweredSubmissions.size());
+                    policy.openMessages().size(), "unanswered", unansweredSubmissions.size());
             for (Out attempt : predecessorCalls.allOut()) {
                 isolate(() -> predecessorAttemptEnded(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0,
                         false));
@@ -1492,7 +1492,7 @@
                 stopped.countDown();
                 return;
             }
-            isolate(() -> policy.closing(openTurn(), turnTimeMs + shutdownLimitMs));
+            isolate(() -> policy.shutdownScheduled(openTurn(), turnTimeMs + shutdownLimitMs));
             loop.schedule(() -> {
                 intake.close();
                 awaitIdle(startedNanos);
--- a/src/test/java/starlingvalve/DeliverySchedulerTest.java
+++ b/src/test/java/starlingvalve/DeliverySchedulerTest.java
@@ -24,16 +24,16 @@
     /** Measures work by allocated bytes: they don't depend on time, and each message that is examined adds some. */
     private static long bytesAllocatedByTurn(int queued) {
         PolicyHarness harness = new PolicyHarness().list(1, 10).list(2, 20);
-        harness.take(1, SAFE, 1);
+        harness.submit(1, SAFE, 1);
         harness.end(1, 0, Outcome.FULL, 9000);
         for (int id = 2; id < queued; id++) {
-            harness.take(id, SAFE, 1);
+            harness.submit(id, SAFE, 1);
         }
         assertEquals(1, harness.sends.size(), "all other messages are queued");
         var threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-        harness.relay.endTurn(harness.now);
+        harness.policy.endTurn(harness.now);
         long before = threads.getCurrentThreadAllocatedBytes();
-        harness.relay.endTurn(harness.now);
+        harness.policy.endTurn(harness.now);
         return threads.getCurrentThreadAllocatedBytes() - before;
     }
 
@@ -50,22 +50,22 @@
     @Test
     void earlyWakeIsRequestedAgain() {
         PolicyHarness harness = new PolicyHarness();
-        harness.take(1, SAFE, 1);
-        harness.until(15_990);
+        harness.submit(1, SAFE, 1);
+        harness.advanceTo(15_990);
         int requested = harness.wakes.size();
         harness.now = harness.wakes.get(requested - 1) - 0.0004;
-        harness.relay.wake(harness.now);
-        harness.relay.endTurn(harness.now);
+        harness.policy.wake(harness.now);
+        harness.policy.endTurn(harness.now);
         assertEquals(requested + 1, harness.wakes.size());
     }
 
     @Test
     void hedgeIsSentAtHalfTheLatencyTargetToAnotherEndpoint() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, SAFE, 1);
-        harness.until(990);
+        harness.submit(1, SAFE, 1);
+        harness.advanceTo(990);
         assertEquals(1, harness.sends.size());
-        harness.until(1010);
+        harness.advanceTo(1010);
         assertEquals(2, harness.sends.size());
         assertFalse(harness.sends.get(0).endpoint() == harness.sends.get(1).endpoint());
     }
@@ -73,20 +73,20 @@
     @Test
     void hedgeIsSentToTheSameEndpointIfThereIsNoOther() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, SAFE, 1);
-        harness.until(1010);
+        harness.submit(1, SAFE, 1);
+        harness.advanceTo(1010);
         assertEquals(2, harness.sends.size());
     }
 
     @Test
     void firstDeliveryCancelsOtherAttempts() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, SAFE, 1);
-        harness.until(1010);
+        harness.submit(1, SAFE, 1);
+        harness.advanceTo(1010);
         harness.end(1, 1, Outcome.DELIVERED);
         assertEquals(List.of("1/0"), harness.cancels);
         harness.end(1, 0, Outcome.CANCELLED);
-        harness.until(20_000);
+        harness.advanceTo(20_000);
         assertEquals(2, harness.sends.size());
         assertTrue(harness.answers.isEmpty());
     }
@@ -94,13 +94,13 @@
     @Test
     void noRetryRoundWhileAnAttemptIsInFlight() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, SAFE, 1);
-        harness.until(1010);
+        harness.submit(1, SAFE, 1);
+        harness.advanceTo(1010);
         harness.end(1, 0, Outcome.ERROR);
-        harness.until(1900);
+        harness.advanceTo(1900);
         assertEquals(2, harness.sends.size());
         harness.end(1, 1, Outcome.ERROR);
-        harness.until(2600);
+        harness.advanceTo(2600);
         assertEquals(3, harness.sends.size());
     }
 
@@ -111,9 +111,9 @@
             harness.list(i, 10 + 2 * i, 11 + 2 * i);
         }
         for (int i = 0; i < 5; i++) {
-            harness.take(i, SAFE, i);
+            harness.submit(i, SAFE, i);
         }
-        harness.until(1900);
+        harness.advanceTo(1900);
         assertEquals(6, harness.sends.size(), "five first sends allow 1.5 hedges, so one");
     }
 
@@ -122,17 +122,17 @@
         PolicyHarness harness = new PolicyHarness(2);
         harness.list(1, 10, 11);
         harness.list(2, 20);
-        harness.take(1, SAFE, 1);
-        harness.take(2, SAFE, 2);
-        harness.until(1900);
+        harness.submit(1, SAFE, 1);
+        harness.submit(2, SAFE, 2);
+        harness.advanceTo(1900);
         assertEquals(2, harness.sends.size());
     }
 
     @Test
     void unsafeMessageIsNotHedged() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, UNSAFE, 1);
-        harness.until(5000);
+        harness.submit(1, UNSAFE, 1);
+        harness.advanceTo(5000);
         assertEquals(1, harness.sends.size());
     }
 
@@ -140,8 +140,8 @@
     void quickErrorsDoNotUseUpAllAttempts() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
         harness.onSend = s -> harness.endLater(s, Outcome.ERROR, 10);
-        harness.take(1, SAFE, 1);
-        harness.until(1000);
+        harness.submit(1, SAFE, 1);
+        harness.advanceTo(1000);
         assertTrue(harness.sends.size() >= 2 && harness.sends.size() <= 5, "sends " + harness.sends.size());
     }
 
@@ -150,15 +150,15 @@
     @Test
     void everyMessageIsAnsweredOnceBeforeItsDeadline() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, SAFE, 9);
-        harness.take(2, UNSAFE, 1);
-        harness.until(15_990);
+        harness.submit(1, SAFE, 9);
+        harness.submit(2, UNSAFE, 1);
+        harness.advanceTo(15_990);
         assertTrue(harness.answers.isEmpty());
-        harness.until(16_020);
+        harness.advanceTo(16_020);
         assertEquals(List.of("refuse 1"), harness.answers, "nothing ran; the other is still in flight");
         harness.end(2, 0, Outcome.TIMED_OUT);
         assertEquals(List.of("refuse 1", "fail 2"), harness.answers);
-        harness.until(40_000);
+        harness.advanceTo(40_000);
         assertEquals(2, harness.answers.size());
         assertEquals(1, harness.sends.size());
     }
@@ -166,26 +166,26 @@
     @Test
     void unsafeMessageIsRetriedOnlyIfItCertainlyDidNotRun() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, UNSAFE, 1);
+        harness.submit(1, UNSAFE, 1);
         harness.end(1, 0, Outcome.UNREACHABLE);
-        harness.until(1000);
+        harness.advanceTo(1000);
         assertEquals(2, harness.sends.size());
         harness.end(1, 1, Outcome.ERROR);
         assertEquals(List.of("fail 1"), harness.answers);
-        harness.until(20_000);
+        harness.advanceTo(20_000);
         assertEquals(2, harness.sends.size());
     }
 
     @Test
     void keyedMessageIsNotRepeatedOutsideItsWindow() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, KEYED, 1);
-        harness.until(4000);
+        harness.submit(1, KEYED, 1);
+        harness.advanceTo(4000);
         int sent = harness.sends.size();
         for (int i = 0; i < sent; i++) {
             harness.end(1, i, Outcome.TIMED_OUT);
         }
-        harness.until(16_100);
+        harness.advanceTo(16_100);
         assertEquals(sent, harness.sends.size());
         assertEquals(1, harness.answers.size());
     }
@@ -194,11 +194,11 @@
     void keyedMessageStaysInTheZoneThatMayHaveRunIt() {
         PolicyHarness harness = new PolicyHarness();
         harness.entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
-        harness.take(1, BY_ZONE, 1);
+        harness.submit(1, BY_ZONE, 1);
         long first = harness.sends.get(0).endpoint();
-        harness.until(1010);
+        harness.advanceTo(1010);
         harness.end(1, 0, Outcome.TIMED_OUT);
-        harness.until(3000);
+        harness.advanceTo(3000);
         assertTrue(harness.sends.size() >= 2);
         assertTrue(harness.sends.stream().allMatch(s -> s.endpoint() == first));
     }
@@ -206,37 +206,37 @@
     @Test
     void failedMessageOfZoneKeyedClassIsNeverRefused() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, BY_ZONE, 1);
+        harness.submit(1, BY_ZONE, 1);
         harness.onSend = s -> harness.endLater(s, Outcome.ERROR, 5);
         harness.end(1, 0, Outcome.ERROR);
-        harness.until(16_100);
+        harness.advanceTo(16_100);
         assertEquals(List.of("fail 1"), harness.answers);
     }
 
     @Test
     void nothingIsSentToADrainingOrUnlistedEndpoint() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, SAFE, 1);
+        harness.submit(1, SAFE, 1);
         harness.end(1, 0, Outcome.ERROR);
         harness.entry(10, 1, 0, 0, false);
-        harness.until(5000);
+        harness.advanceTo(5000);
         assertEquals(1, harness.sends.size());
-        harness.relay.endpoints(harness.now, true, List.of());
-        harness.take(2, SAFE, 1);
-        harness.until(6000);
+        harness.policy.endpoints(harness.now, true, List.of());
+        harness.submit(2, SAFE, 1);
+        harness.advanceTo(6000);
         assertEquals(1, harness.sends.size());
     }
 
     @Test
     void retryAfterStopsEverySendToTheDestination() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, SAFE, 1);
+        harness.submit(1, SAFE, 1);
         harness.end(1, 0, Outcome.FULL, 700);
-        harness.take(2, UNSAFE, 1);
-        harness.take(3, KEYED, 1);
-        harness.until(700);
+        harness.submit(2, UNSAFE, 1);
+        harness.submit(3, KEYED, 1);
+        harness.advanceTo(700);
         assertEquals(1, harness.sends.size());
-        harness.until(4000);
+        harness.advanceTo(4000);
         assertTrue(harness.sends.size() > 1);
     }
 
@@ -244,19 +244,19 @@
     @Test
     void eachMessageOfACallMayHaveItsOwnRetryAfter() {
         PolicyHarness harness = new PolicyHarness().entry(10, 1, 1, 0, true);
-        harness.takeTogether(2, SAFE, 1);
+        harness.submitTogether(2, SAFE, 1);
         harness.end(1, 0, Outcome.FULL, 0);
         harness.end(2, 0, Outcome.FULL, 3000);
-        harness.until(3000);
+        harness.advanceTo(3000);
         assertEquals(2, harness.sends.size());
     }
 
     @Test
     void retryAfterAppliesToOneOfSeparateRoutes() {
         PolicyHarness harness = new PolicyHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
-        harness.take(1, SAFE, 1);
+        harness.submit(1, SAFE, 1);
         harness.end(1, 0, Outcome.FULL, 5000);
-        harness.until(900);
+        harness.advanceTo(900);
         assertEquals(2, harness.sends.size());
         assertFalse(harness.sends.get(0).endpoint() == harness.sends.get(1).endpoint());
     }
@@ -264,24 +264,24 @@
     @Test
     void messagesOfOneKeyGoInOrderAndAreQuarantinedAfterAnUncertainEnd() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, UNSAFE, 1, "k");
-        harness.take(2, UNSAFE, 1, "k");
-        harness.take(3, UNSAFE, 1, "other");
+        harness.submit(1, UNSAFE, 1, "k");
+        harness.submit(2, UNSAFE, 1, "k");
+        harness.submit(3, UNSAFE, 1, "other");
         assertEquals(List.of(1L, 3L), harness.sent());
         harness.end(1, 0, Outcome.TIMED_OUT);
-        harness.until(490);
+        harness.advanceTo(490);
         assertEquals(List.of(1L, 3L), harness.sent());
-        harness.until(600);
+        harness.advanceTo(600);
         assertEquals(List.of(1L, 3L, 2L), harness.sent());
     }
 
     @Test
     void withdrawnMessageWithAnAttemptInFlightStillHoldsItsKey() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.take(1, UNSAFE, 1, "k");
-        harness.take(2, UNSAFE, 1, "k");
-        harness.relay.withdrawn(harness.now, 1);
-        harness.until(300);
+        harness.submit(1, UNSAFE, 1, "k");
+        harness.submit(2, UNSAFE, 1, "k");
+        harness.policy.messageWithdrawn(harness.now, 1);
+        harness.advanceTo(300);
         assertEquals(List.of(1L), harness.sent());
         harness.end(1, 0, Outcome.DELIVERED);
         assertEquals(List.of(1L, 2L), harness.sent());
@@ -292,14 +292,14 @@
     @Test
     void misuseThrowsAndLateEventsAreIgnored() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, SAFE, 1);
+        harness.submit(1, SAFE, 1);
         assertThrows(IllegalArgumentException.class, () -> harness.end(7, 0, Outcome.DELIVERED));
         assertThrows(IllegalArgumentException.class, () -> harness.end(1, 3, Outcome.DELIVERED));
-        assertThrows(IllegalArgumentException.class, () -> harness.take(1, SAFE, 1));
-        assertThrows(IllegalArgumentException.class, () -> harness.take(2, 17, 1));
-        assertThrows(IllegalArgumentException.class, () -> harness.relay.wake(harness.now - 1));
-        harness.relay.withdrawn(harness.now, 99);
-        harness.relay.wake(harness.now);
+        assertThrows(IllegalArgumentException.class, () -> harness.submit(1, SAFE, 1));
+        assertThrows(IllegalArgumentException.class, () -> harness.submit(2, 17, 1));
+        assertThrows(IllegalArgumentException.class, () -> harness.policy.wake(harness.now - 1));
+        harness.policy.messageWithdrawn(harness.now, 99);
+        harness.policy.wake(harness.now);
     }
 
     // ---- all rules under random events ----
@@ -319,7 +319,7 @@
         RandomRun(int seed) {
             random = new Random(seed);
             harness = new PolicyHarness(4 + seed % 5);
-            harness.strict = true;
+            harness.checksRules = true;
         }
 
         void run() {
@@ -336,8 +336,8 @@
             };
             for (long id = 0; id < 300; id++) {
                 int messageClass = random.nextInt(4);
-                harness.take(id, messageClass, random.nextInt(4), "k" + random.nextInt(5));
-                harness.until(harness.now + random.nextInt(120));
+                harness.submit(id, messageClass, random.nextInt(4), "k" + random.nextInt(5));
+                harness.advanceTo(harness.now + random.nextInt(120));
                 if (random.nextInt(40) == 0) {
                     int destination = random.nextInt(4);
                     harness.entry(10 * destination, destination, destination % 3, 0, random.nextBoolean());
@@ -346,8 +346,8 @@
                     harness.withdraw(random.nextInt((int) id + 1));
                 }
             }
-            harness.until(harness.now + 40_000);
-            harness.allAnswered();
+            harness.advanceTo(harness.now + 40_000);
+            harness.assertAllAnswered();
         }
     }
 
@@ -356,34 +356,34 @@
     @Test
     void endpointInMaintenanceGetsNothingWhileListedAndComesBackCold() {
         PolicyHarness harness = new PolicyHarness().list(1, 10, 11);
-        harness.relay.maintenance(harness.now, 10, true);
-        harness.relay.maintenance(harness.now, 10, true);
+        harness.policy.setMaintenance(harness.now, 10, true);
+        harness.policy.setMaintenance(harness.now, 10, true);
         harness.list(1, 10);
-        assertTrue(harness.relay.avoids(10));
-        assertFalse(harness.relay.avoids(11));
+        assertTrue(harness.policy.isExcluded(10));
+        assertFalse(harness.policy.isExcluded(11));
         harness.onSend = s -> harness.endLater(s, Outcome.DELIVERED, 50);
-        harness.takeEvery(50, SAFE, 1, 10_000);
+        harness.submitEvery(50, SAFE, 1, 10_000);
         assertTrue(harness.sends.stream().allMatch(s -> s.endpoint() == 11));
-        harness.relay.maintenance(harness.now, 10, false);
-        harness.take(999, SAFE, 1);
+        harness.policy.setMaintenance(harness.now, 10, false);
+        harness.submit(999, SAFE, 1);
         assertEquals(10, harness.sends.get(harness.sends.size() - 1).endpoint(),
                 "one return to service undoes a repeated maintenance order");
-        harness.takeEvery(50, SAFE, 1, 12_000);
+        harness.submitEvery(50, SAFE, 1, 12_000);
         long sentToReturned = harness.sends.stream().filter(s -> s.endpoint() == 10).count();
         assertTrue(sentToReturned >= 1 && sentToReturned <= 15, "used, but in slow start: " + sentToReturned);
         int before = harness.sends.size();
-        harness.relay.maintenance(harness.now, 10, false);
-        harness.takeEvery(50, SAFE, 1, 24_000);
+        harness.policy.setMaintenance(harness.now, 10, false);
+        harness.submitEvery(50, SAFE, 1, 24_000);
         assertTrue(harness.sends.stream().skip(before).filter(s -> s.endpoint() == 10).count() > 40);
     }
 
     @Test
     void callThatWaitsForItsConnectionDoesNotStartOnceItsEndpointIsInMaintenance() {
         PolicyHarness harness = new PolicyHarness().list(1, 10);
-        harness.take(1, SAFE, 1);
-        assertTrue(harness.relay.mayStart(harness.now, 1, 0));
-        harness.relay.maintenance(harness.now, 10, true);
-        assertFalse(harness.relay.mayStart(harness.now, 1, 0));
+        harness.submit(1, SAFE, 1);
+        assertTrue(harness.policy.mayBeginAttempt(harness.now, 1, 0));
+        harness.policy.setMaintenance(harness.now, 10, true);
+        assertFalse(harness.policy.mayBeginAttempt(harness.now, 1, 0));
     }
 
     // ---- faults ----
@@ -396,7 +396,7 @@
                 throw new IllegalStateException("an injected fault");
             }
         };
-        assertThrows(IllegalStateException.class, () -> harness.takeTogether(2, SAFE, 1));
+        assertThrows(IllegalStateException.class, () -> harness.submitTogether(2, SAFE, 1));
         assertEquals(List.of(1L, 2L), harness.sent());
     }
 
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -69,7 +69,7 @@
 
     private final Endpoints.Callbacks callbacks = new Endpoints.Callbacks() {
         @Override
-        public void waitTold(long endpoint, double retryAfterMs) {
+        public void retryAfterReceived(long endpoint, double retryAfterMs) {
             retryAfters.add(endpoint + " " + retryAfterMs);
         }
 
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public boolean mayStart(Endpoints.Call call) {
+        public boolean mayBeginAttempt(Endpoints.Call call) {
             beforeStart.run();
             return !withheldIds.contains(call.held.id);
         }
--- a/src/test/java/starlingvalve/net/LongBudgetTest.java
+++ b/src/test/java/starlingvalve/net/LongBudgetTest.java
@@ -20,7 +20,7 @@
         handIn("long", Long.MAX_VALUE);
         awaitEmptyJournal();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("message")) {
+            if (event.equals("messageAccepted")) {
                 throw new IllegalStateException("injected by the test");
             }
         };
--- a/src/test/java/starlingvalve/net/ModuleFaultTest.java
+++ b/src/test/java/starlingvalve/net/ModuleFaultTest.java
@@ -42,7 +42,7 @@
     @Test
     void messageUnknownToThePolicyIsReturnedInTime() throws Exception {
         start();
-        failNext("message", 1);
+        failNext("messageAccepted", 1);
         long submittedNanos = submitWithShortBudget("forgotten");
         StubServer.await("the notice", () -> !notices.isEmpty());
         assertInTime(submittedNanos);
@@ -77,7 +77,7 @@
         start();
         submit("waiting", "plain");
         submit("behind", "plain");
-        failNext("remember", 1);
+        failNext("restore", 1);
         Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         start();
@@ -95,7 +95,7 @@
     void processContinuesWhenItsStateCannotBeHandedOverAndIsAskedAgain() throws Exception {
         start();
         Socket keptAlive = client();
-        failNext("memory", 2);
+        failNext("snapshot", 2);
         Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         start();
--- a/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
+++ b/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
@@ -3,7 +3,7 @@
 /** Allows every call, and ignores the callbacks that a test does not override. */
 abstract class PermissiveEndpointCallbacks implements Endpoints.Callbacks {
     @Override
-    public boolean mayStart(Endpoints.Call call) {
+    public boolean mayBeginAttempt(Endpoints.Call call) {
         return true;
     }
 
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void waitTold(long endpoint, double retryAfterMs) {
+    public void retryAfterReceived(long endpoint, double retryAfterMs) {
         // Ignored.
     }
 
--- a/src/test/java/starlingvalve/net/RepeatedIdTest.java
+++ b/src/test/java/starlingvalve/net/RepeatedIdTest.java
@@ -96,7 +96,7 @@
         start();
         Socket lostConnection = client();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("turnsAway")) {
+            if (event.equals("admissionRetryAfter")) {
                 reset(lostConnection);
             }
         };
--- a/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
@@ -55,7 +55,7 @@
         retryAfterServer = new StubServer((request, socket) -> waitingSockets.add(socket));
         endpoints = new Endpoints(loop, DIAL_TIMEOUT_MS, 15_000, 1, 4, new PermissiveEndpointCallbacks() {
             @Override
-            public boolean mayStart(Endpoints.Call call) {
+            public boolean mayBeginAttempt(Endpoints.Call call) {
                 startChecks++;
                 return !retryAfterReceived;
             }
@@ -69,7 +69,7 @@
             }
 
             @Override
-            public void waitTold(long endpoint, double retryAfterMs) {
+            public void retryAfterReceived(long endpoint, double retryAfterMs) {
                 retryAfterReceived = true;
             }
 
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -86,7 +86,7 @@
         }
         Thread drain = new Thread(() -> sender.drain());
         beforeEvent = (event, arguments) -> {
-            if (event.equals("resumed") && drain.getState() == Thread.State.NEW) {
+            if (event.equals("messageRecovered") && drain.getState() == Thread.State.NEW) {
                 drain.start();
                 // The drain waits for the loop, which is blocked here: its task is queued in the middle of the replay.
                 awaitState(drain, Thread.State.WAITING);
@@ -115,7 +115,7 @@
         CountDownLatch loopBlocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         beforeEvent = (event, arguments) -> {
-            if (event.equals("closing")) {
+            if (event.equals("shutdownScheduled")) {
                 loopBlocked.countDown();
                 awaitLatch(release);
             }
@@ -147,9 +147,9 @@
         CompletableFuture<Boolean> answerReadFirst = new CompletableFuture<>();
         AtomicInteger mayStartQueries = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("closing")) {
+            if (event.equals("shutdownScheduled")) {
                 drainStartedNanos.set(System.nanoTime());
-            } else if (event.equals("mayStart") && mayStartQueries.incrementAndGet() == 2) {
+            } else if (event.equals("mayBeginAttempt") && mayStartQueries.incrementAndGet() == 2) {
                 // A connection for the second message is established. The first is answered while the loop is blocked.
                 answerAll();
                 while (System.nanoTime() - drainStartedNanos.get() < (shutdownLimitMs + 100) * 1_000_000) {
