--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -361,7 +361,8 @@
     @Override
     public void retryAfterReceived(double now, long endpointId, double retryAfterMs) {
         advanceClock(now);
-        Optional.ofNullable(endpointsById.get(endpointId)).ifPresent(e -> e.limiter.applyRetryAfter(retryAfterMs));
+        Optional.ofNullable(endpointsById.get(endpointId))
+                .ifPresent(e -> e.limiter.applyRetryAfter(retryAfterMs));
     }
 
     @Override
