--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -169,7 +169,7 @@
                     hangUp -> createdSender.thenAccept(sender -> sender.reconfigure(env)));
             if (previousHandler == SignalHandler.SIG_IGN) {
                 // The disposition is inherited from the parent process, and the JVM does not change it.
-                Log.line("the parent process left SIGHUP ignored: a new configuration takes effect at a restart only");
+                Log.line("what started this has SIGHUP ignored: no new configuration will be heeded");
             }
             StartRetry startRetry = new StartRetry(StartRetry.PATIENCE_MS);
             Sender sender = new Sender(Config.read(env, startRetry), SHUTDOWN_ACCEPT_MS, SHUTDOWN_LIMIT_MS,
@@ -317,7 +317,7 @@
                     HandoverConnection.JSON.treeToValue(state.path("memory"), DeliveryPolicy.Snapshot.class);
             return Optional.of(classes.equals(config.classes()) ? snapshot : withLocalClassNumbers(snapshot, classes));
         } catch (IOException | RuntimeException e) {
-            Log.line("the predecessor's state can't be read; starting without it: " + e.getMessage());
+            Log.line("the old process's state can't be read, so this is a plain start: " + e.getMessage());
             return Optional.empty();
         }
     }
