--- a/src/main/java/starlingvalve/net/Config.java
+++ b/src/main/java/starlingvalve/net/Config.java
@@ -40,7 +40,7 @@
     static Config read(Map<String, String> env, StartRetry retry) throws IOException, InvalidInputException {
         Path file = Path.of(required(env, "GW_CONFIG"));
         boolean mayBeOpened = Files.isRegularFile(file) && Files.isReadable(file);
-        byte[] bytes = mayBeOpened ? retry.untilDone("reading the configuration", () -> Files.readAllBytes(file))
+        byte[] bytes = mayBeOpened ? retry.runWithRetries("reading the configuration", () -> Files.readAllBytes(file))
                 : Files.readAllBytes(file);
         JsonNode json = JsonMapper.builder().build().readTree(bytes);
         Map<String, String> values = new HashMap<>();
--- a/src/main/java/starlingvalve/net/OperatorServer.java
+++ b/src/main/java/starlingvalve/net/OperatorServer.java
@@ -130,7 +130,7 @@
                 return;
             }
             called = true;
-            ctx.pipeline().get(RequestDeadline.class).whole();
+            ctx.pipeline().get(RequestDeadline.class).requestComplete();
             call(request, answer -> {
                 FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(),
                         Unpooled.copiedBuffer(answer.text(), StandardCharsets.UTF_8));
--- a/src/main/java/starlingvalve/net/RequestDeadline.java
+++ b/src/main/java/starlingvalve/net/RequestDeadline.java
@@ -42,7 +42,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        whole();
+        requestComplete();
         ctx.fireChannelInactive();
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** The request that was awaited has come in full. */
-    void whole() {
+    void requestComplete() {
         if (timer != null) {
             timer.cancel(false);
             timer = null;
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -101,7 +101,7 @@
     /** The policy has something to send, and a turn is opened once the list lease is valid. */
     private boolean turnAwaitsLease;
     private NoticeClient notices;
-    private SubmissionServer intake;
+    private SubmissionServer submissionServer;
     private OperatorServer ops;
     /** Address of the platform's discovery agent, by the newest configuration. */
     private InetSocketAddress discoveryAddress;
@@ -135,7 +135,7 @@
     /** Events reach the policy through {@code decorator}, with which tests intercept them. */
     Sender(Config config, long shutdownAcceptMs, long shutdownLimitMs, long warmupLimitMs,
             UnaryOperator<DeliveryPolicy> decorator) throws IOException {
-        this(config, shutdownAcceptMs, shutdownLimitMs, warmupLimitMs, new StartRetry(StartRetry.PATIENCE_MS),
+        this(config, shutdownAcceptMs, shutdownLimitMs, warmupLimitMs, new StartRetry(StartRetry.RETRY_LIMIT_MS),
                 decorator);
     }
 
@@ -156,7 +156,7 @@
     }
 
     private EventLoopGroup newEventLoop() throws IOException {
-        return startRetry.untilDone("creating an event loop",
+        return startRetry.runWithRetries("creating an event loop",
                 () -> new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()));
     }
 
@@ -171,7 +171,7 @@
                 // The disposition is inherited from the parent process, and the JVM does not change it.
                 Log.line("the parent process left SIGHUP ignored: a new configuration takes effect at a restart only");
             }
-            StartRetry startRetry = new StartRetry(StartRetry.PATIENCE_MS);
+            StartRetry startRetry = new StartRetry(StartRetry.RETRY_LIMIT_MS);
             Sender sender = new Sender(Config.read(env, startRetry), SHUTDOWN_ACCEPT_MS, SHUTDOWN_LIMIT_MS,
                     WARMUP_LIMIT_MS, startRetry, policy -> policy);
             createdSender.complete(sender);
@@ -195,7 +195,7 @@
     InetSocketAddress start() throws IOException {
         loop.submit(this::openComponents).syncUninterruptibly();
         if (config.ops().isPresent()) {
-            opsAddress = startRetry.untilDone("listening for operators", () -> ops.listen(config.ops().get()));
+            opsAddress = startRetry.runWithRetries("listening for operators", () -> ops.listen(config.ops().get()));
             Log.line(config.name() + " takes operators' calls at " + Endpoints.hostPort(opsAddress));
         }
         if (!Files.exists(config.state().resolve("journal")) || takeover.isOwnedElsewhere()) {
@@ -229,7 +229,7 @@
         endpoints = new Endpoints(loop, config.dialMs(), config.settings().keepAliveMs(),
                 config.settings().senders(), budget.idleEndpoints(), new EndpointCallbacks());
         notices = new NoticeClient(loop, new AgentConnection(loop, discoveryAddress), this::noticeAcknowledged);
-        intake = new SubmissionServer(acceptor, loop, budget.clients(), new ClientCallbacks());
+        submissionServer = new SubmissionServer(acceptor, loop, budget.clients(), new ClientCallbacks());
         ops = new OperatorServer(acceptor, loop, new OperatorCallbacks());
         handover = new Handover(acceptor, loop, new HandoverCallbacks());
         takeover = new Takeover(loop, config.state(), config.handover(), startRetry, new TakeoverCallbacks());
@@ -265,7 +265,7 @@
         }
         state.ifPresent(node -> discovery.inherit(node.path("list")));
         discovery.withdraw(journal.withdrawn());
-        intake.drain(journal.drained());
+        submissionServer.drain(journal.drained());
         for (String endpoint : journal.maintained()) {
             policy.maintenance(openTurn(), registry.number(endpoint), true);
         }
@@ -1112,7 +1112,7 @@
             if (!ownsJournal || handover.leaving()) {
                 forward(HandoverConnection.line("drain").put("on", on), answer -> {
                     if (answer.status().code() == 200) {
-                        intake.drain(on);
+                        submissionServer.drain(on);
                     }
                     callback.accept(answer);
                 }, () -> drain(on, callback));
@@ -1121,7 +1121,7 @@
             execute(callback, on ? "clients are sent away" : "clients are taken again", () -> {
                 if (journal.drained() != on) {
                     journal.drained(on);
-                    intake.drain(on);
+                    submissionServer.drain(on);
                 }
             });
         }
@@ -1236,7 +1236,7 @@
             openMessages.clear();
             discovery.stop();
             listLease.stop();
-            intake.leave();
+            submissionServer.closeForSuccessor();
             endpoints.disableConnectionReuse();
             Log.line("the new version owns all; " + callsInFlight.size() + " calls are still out here");
         }
@@ -1288,7 +1288,7 @@
                 successCallback.run();
                 return;
             }
-            EventLoopListeners.whenDone(loop, intake.listen(config.listen()), bound -> {
+            EventLoopListeners.whenDone(loop, submissionServer.listen(config.listen()), bound -> {
                 if (bound.isSuccess()) {
                     listening = true;
                     successCallback.run();
@@ -1300,10 +1300,10 @@
         }
 
         @Override
-        public void listenNoMore() {
+        public void stopListening() {
             if (listening) {
                 listening = false;
-                intake.listenNoMore();
+                submissionServer.stopListening();
             }
         }
 
@@ -1315,7 +1315,7 @@
 
         /** Listens for clients, and retries as long as {@link StartRetry} allows. */
         private void listenAsOwner() {
-            listen(() -> boundAddress.complete(intake.address()), cause -> {
+            listen(() -> boundAddress.complete(submissionServer.address()), cause -> {
                 IOException failure = new IOException("can't listen at " + Endpoints.hostPort(config.listen()), cause);
                 if (startRetry.mayRetry("listening", failure)) {
                     loop.schedule(this::listenAsOwner, LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
@@ -1494,7 +1494,7 @@
             }
             isolate(() -> policy.closing(openTurn(), turnTimeMs + shutdownLimitMs));
             loop.schedule(() -> {
-                intake.close();
+                submissionServer.close();
                 awaitIdle(startedNanos);
             }, shutdownAcceptMs, TimeUnit.MILLISECONDS);
         });
@@ -1507,8 +1507,10 @@
 
     /** Finishes the shutdown once nothing is in flight or the time limit has passed. */
     private void awaitIdle(long startedNanos) {
-        boolean idle = handover.left() ? callsInFlight.isEmpty() && handover.unanswered() == 0 && intake.hasEnded()
-                : openMessages.isEmpty() && notices.owed() == 0 && intake.hasEnded() && !journal.isBehind();
+        boolean idle = handover.left()
+                ? callsInFlight.isEmpty() && handover.unanswered() == 0 && submissionServer.isTerminated()
+                : openMessages.isEmpty() && notices.owed() == 0 && submissionServer.isTerminated()
+                        && !journal.isBehind();
         if (idle) {
             finishShutdown();
         } else if (System.nanoTime() - startedNanos >= TimeUnit.MILLISECONDS.toNanos(shutdownLimitMs)) {
@@ -1520,7 +1522,7 @@
     }
 
     private void finishShutdown() {
-        intake.readNoMore();
+        submissionServer.stopReading();
         if (ownsJournal && !handover.left()) {
             journal.catchUp();
         }
--- a/src/main/java/starlingvalve/net/StartRetry.java
+++ b/src/main/java/starlingvalve/net/StartRetry.java
@@ -11,7 +11,7 @@
  */
 final class StartRetry {
     /** A sender has 30 s to be ready, of which the rest of the start takes a few. */
-    static final long PATIENCE_MS = 25_000;
+    static final long RETRY_LIMIT_MS = 25_000;
 
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -45,7 +45,7 @@
     }
 
     /** Takes a step until it succeeds; waits between its tries, so it is not called on an event loop. */
-    <T> T untilDone(String what, Step<T> step) throws IOException {
+    <T> T runWithRetries(String what, Step<T> step) throws IOException {
         while (true) {
             try {
                 T taken = step.take();
--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -253,13 +253,13 @@
     }
 
     /** Takes no new connection for now; {@link #listen} begins again. */
-    void listenNoMore() {
-        listener.ifPresent(TcpListener::acceptAllAndClose);
+    void stopListening() {
+        listener.ifPresent(TcpListener::acceptPendingAndClose);
     }
 
     /** A new process listens at the address: this one ends its connections, each with its next answer. */
-    void leave() {
-        listener.ifPresent(TcpListener::acceptAllAndClose);
+    void closeForSuccessor() {
+        listener.ifPresent(TcpListener::acceptPendingAndClose);
         left = true;
         sweepLater(SWEEP_AFTER_MS);
     }
@@ -270,14 +270,14 @@
      */
     void close() {
         closing = true;
-        listener.ifPresent(TcpListener::acceptAllAndClose);
+        listener.ifPresent(TcpListener::acceptPendingAndClose);
     }
 
     /**
      * The process may be gone at any moment: a request that was read could go unanswered, one that was not read is
      * sent once more by its client.
      */
-    void readNoMore() {
+    void stopReading() {
         readsNoMore = true;
         clients.forEach(client -> client.config().setAutoRead(false));
     }
@@ -317,7 +317,7 @@
     }
 
     /** Whether no client has a connection, and none can come any more. */
-    boolean hasEnded() {
+    boolean isTerminated() {
         return clients.isEmpty() && admission.open() == 0 && listener.filter(TcpListener::isOpen).isEmpty();
     }
 
@@ -415,7 +415,7 @@
             if (ended) {
                 return;
             }
-            ctx.pipeline().get(Between.class).whole();
+            ctx.pipeline().get(Between.class).requestComplete();
             notIdle(ctx.channel());
             String path = request.uri().split("\\?", 2)[0];
             if (request.decoderResult().isFailure()) {
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -37,7 +37,7 @@
         void listenBeside(Runnable then, Runnable failed);
 
         /** The old process went on by itself: clients are its own again. */
-        void listenNoMore();
+        void stopListening();
 
         /** The lock is had: all begins, with the state that the old process gave, if any. */
         void own(StateLock lock, Optional<JsonNode> state) throws IOException;
@@ -217,7 +217,7 @@
         if (link != from) {
             // The old process went meanwhile, or took everything back: its state is not to be trusted.
             if (!owner) {
-                heir.listenNoMore();
+                heir.stopListening();
             }
             return;
         }
@@ -262,7 +262,7 @@
         }
         link = null;
         if (given && !owner) {
-            heir.listenNoMore();
+            heir.stopListening();
         }
         given = false;
         early.clear();
--- a/src/main/java/starlingvalve/net/TcpListener.java
+++ b/src/main/java/starlingvalve/net/TcpListener.java
@@ -95,7 +95,7 @@
      * takes effect only with the next select, and what connects until then is reset. So the selector forgets it
      * first, and one more select later nothing lies between the last accept and the close.
      */
-    void acceptAllAndClose() {
+    void acceptPendingAndClose() {
         EventLoop acceptor = eventLoop();
         acceptor.execute(() -> {
             if (closing || !isOpen()) {
--- a/src/test/java/starlingvalve/net/ListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/ListenFaultTest.java
@@ -27,7 +27,7 @@
             if (event.equals("endpoints")) {
                 try {
                     Object bootstrap = field(SubmissionServer.class, "bootstrap")
-                            .get(field(Sender.class, "intake").get(sender));
+                            .get(field(Sender.class, "submissionServer").get(sender));
                     field(AbstractBootstrap.class, "channelFactory").set(bootstrap, (ChannelFactory<?>) () -> {
                         throw new ChannelException("too many open files in system");
                     });
--- a/src/test/java/starlingvalve/net/StartRetryTest.java
+++ b/src/test/java/starlingvalve/net/StartRetryTest.java
@@ -28,13 +28,13 @@
     @Test
     void aStepIsTakenUntilItSucceedsOrThePatienceIsOver() throws Exception {
         AtomicInteger tries = new AtomicInteger();
-        assertEquals("done", new StartRetry(TimeUnit.SECONDS.toMillis(30)).untilDone("a step", () -> {
+        assertEquals("done", new StartRetry(TimeUnit.SECONDS.toMillis(30)).runWithRetries("a step", () -> {
             if (tries.incrementAndGet() < 3) {
                 throw FULL;
             }
             return "done";
         }));
-        IOException last = assertThrows(IOException.class, () -> new StartRetry(PATIENCE_MS).untilDone("a step", () -> {
+        IOException last = assertThrows(IOException.class, () -> new StartRetry(PATIENCE_MS).runWithRetries("a step", () -> {
             throw FULL;
         }));
         assertEquals("no space", last.getMessage());
--- a/src/test/java/starlingvalve/net/SubmissionServerTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -34,10 +34,10 @@
         return client(new SubmissionServer(new DefaultEventLoop(), 10, desk));
     }
 
-    private static EmbeddedChannel client(SubmissionServer intake) {
+    private static EmbeddedChannel client(SubmissionServer server) {
         EmbeddedChannel client = new EmbeddedChannel();
         client.freezeTime();
-        client.pipeline().addLast(intake.pipeline());
+        client.pipeline().addLast(server.pipeline());
         client.pipeline().fireChannelActive();
         return client;
     }
@@ -114,29 +114,29 @@
 
     @Test
     void ifAllAreBusyTheNewOneIsClosedAndNoneElse() {
-        SubmissionServer intake = new SubmissionServer(new DefaultEventLoop(), 3, desk);
+        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 3, desk);
         List<EmbeddedChannel> busy = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            busy.add(client(intake));
+            busy.add(client(server));
             begin(busy.get(i));
         }
-        EmbeddedChannel more = client(intake);
+        EmbeddedChannel more = client(server);
         assertFalse(more.isOpen());
         more.checkException();
         busy.forEach(client -> assertTrue(client.isOpen()));
         more.runPendingTasks();
-        assertEquals(3, intake.clients());
+        assertEquals(3, server.clients());
     }
 
     @Test
     void theLongestIdleMakesRoom() {
-        SubmissionServer intake = new SubmissionServer(new DefaultEventLoop(), 3, desk);
-        EmbeddedChannel busy = client(intake);
+        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 3, desk);
+        EmbeddedChannel busy = client(server);
         begin(busy);
-        EmbeddedChannel first = client(intake);
-        EmbeddedChannel second = client(intake);
+        EmbeddedChannel first = client(server);
+        EmbeddedChannel second = client(server);
         send(first, request("one", 0));
-        EmbeddedChannel more = client(intake);
+        EmbeddedChannel more = client(server);
         assertFalse(second.isOpen(), "the other idled since its request, which came later");
         assertTrue(busy.isOpen() && first.isOpen() && more.isOpen());
     }
@@ -144,14 +144,14 @@
     @Test
     void oneThatWentWhileItsVerdictWasOutIsNotCountedOnToMakeRoom() {
         LateDesk late = new LateDesk();
-        SubmissionServer intake = new SubmissionServer(new DefaultEventLoop(), 1, late);
-        EmbeddedChannel gone = client(intake);
+        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 1, late);
+        EmbeddedChannel gone = client(server);
         send(gone, request("one", 0));
         gone.close();
         gone.runPendingTasks();
         late.out.get(0).accept(SubmissionServer.Verdict.refused("late"));
-        EmbeddedChannel idle = client(intake);
-        EmbeddedChannel more = client(intake);
+        EmbeddedChannel idle = client(server);
+        EmbeddedChannel more = client(server);
         assertFalse(idle.isOpen());
         assertTrue(more.isOpen());
     }
@@ -191,16 +191,16 @@
         EventLoop loop = group.next();
         List<Socket> sockets = new ArrayList<>();
         try {
-            SubmissionServer intake = new SubmissionServer(loop, most, desk);
-            intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
-            InetSocketAddress address = intake.address();
+            SubmissionServer server = new SubmissionServer(loop, most, desk);
+            server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
+            InetSocketAddress address = server.address();
             CountDownLatch connected = new CountDownLatch(1);
             CompletableFuture<Integer> accepted = new CompletableFuture<>();
             loop.submit(() -> {
                 connected.await();
-                intake.close();
+                server.close();
                 // Right behind the accepting, and before the ends of those that made room.
-                loop.execute(() -> accepted.complete(intake.clients()));
+                loop.execute(() -> accepted.complete(server.clients()));
                 return null;
             });
             for (int i = 0; i < waiting; i++) {
@@ -212,7 +212,7 @@
             StubServer.await("nobody listens any more", () -> connect(address).isEmpty());
             // Behind the ends of those that made room, which are told in a turn of their own.
             loop.submit(() -> { }).get();
-            int open = loop.submit(intake::clients).get();
+            int open = loop.submit(server::clients).get();
             assertTrue(open <= most, "after the turn: " + open);
             assertTrue(open > 0, "there was room for some");
         } finally {
@@ -227,15 +227,15 @@
     @Test
     void aConnectionThatComesUpWhileTheListenerClosesIsAnsweredOrRefused() throws Exception {
         for (Consumer<SubmissionServer> end : List.<Consumer<SubmissionServer>>of(SubmissionServer::close,
-                SubmissionServer::leave, SubmissionServer::listenNoMore)) {
+                SubmissionServer::closeForSuccessor, SubmissionServer::stopListening)) {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
             EventLoop loop = group.next();
             try {
-                SubmissionServer intake = new SubmissionServer(loop, 10, desk);
-                intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
-                InetSocketAddress address = intake.address();
+                SubmissionServer server = new SubmissionServer(loop, 10, desk);
+                server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
+                InetSocketAddress address = server.address();
                 Optional<Socket> crossing = loop.submit(() -> {
-                    end.accept(intake);
+                    end.accept(server);
                     return connect(address);
                 }).get();
                 if (crossing.isPresent()) {
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -61,7 +61,7 @@
         }
 
         @Override
-        public void listenNoMore() {
+        public void stopListening() {
             // It never listens.
         }
 
--- a/src/test/java/starlingvalve/net/TakeoverTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverTest.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public void listenNoMore() {
+        public void stopListening() {
             heard.add("listen no more");
         }
 
