--- a/src/main/java/starlingvalve/net/AcceptRetry.java
+++ b/src/main/java/starlingvalve/net/AcceptRetry.java
@@ -6,10 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets a listening socket go on soon behind a failed accept. It stands before the handler of the network library, which
- * would stop for a second. What waits to be accepted stays in the backlog, so the selector would report it again at once.
+ * Makes a listening socket accept again soon after a failed accept. This handler comes before that of Netty, which
+ * would pause for a second. A short pause is needed, since pending connections stay in the backlog and the selector
+ * would report them again at once.
  */
 final class AcceptRetry extends ChannelInboundHandlerAdapter {
+    /** Time without accepting after a failure. */
     static final long RETRY_MS = 10;
 
     @Override
@@ -18,7 +20,7 @@
         pause((ServerChannel) ctx.channel());
     }
 
-    /** Accepts nothing for a moment. */
+    /** Stops accepting for {@link #RETRY_MS}. */
     static void pause(ServerChannel listener) {
         listener.config().setAutoRead(false);
         listener.eventLoop().schedule(() -> listener.config().setAutoRead(true), RETRY_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/starlingvalve/net/ClientAdmission.java
+++ b/src/main/java/starlingvalve/net/ClientAdmission.java
@@ -4,26 +4,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * How many connections of clients there may be. The listener's thread counts them in and the event loop's counts them
- * out, so a connection that is accepted and not yet known to the event loop has its place.
+ * Limits the number of connections of clients. A connection counts from when the listener's thread accepts it until its
+ * event loop has closed it, so one that is accepted but not yet registered with its event loop counts, too.
  */
 final class ClientAdmission {
-    private final int mostClients;
+    private final int maxClients;
     private final AtomicInteger open = new AtomicInteger();
-    /** Connections between requests, each of which can make room for a newer one. */
-    private volatile int idle;
+    /** Number of connections between requests; each can be closed to make room for a newer one. */
+    private volatile int idleConnections;
 
-    ClientAdmission(int mostClients) {
-        this.mostClients = mostClients;
+    ClientAdmission(int maxClients) {
+        this.maxClients = maxClients;
     }
 
     /**
-     * Counts a connection in, if it can be had beside the others. Beyond the bound each needs an idle one that makes
-     * room; that one holds its descriptor a little longer, so there may be only a few such.
+     * Admits and counts a connection, or returns false. Beyond the limit, an idle connection must be closed for each
+     * further one. As that one holds its file descriptor a little longer, at most
+     * {@link DescriptorBudget#ACCEPT_BURST} connections are admitted beyond the limit.
      */
     boolean admit(Channel client) {
-        int makingRoom = Math.min(idle, DescriptorBudget.ACCEPT_BURST);
-        if (open.incrementAndGet() > mostClients + makingRoom) {
+        int replaceable = Math.min(idleConnections, DescriptorBudget.ACCEPT_BURST);
+        if (open.incrementAndGet() > maxClients + replaceable) {
             open.decrementAndGet();
             return false;
         }
@@ -31,12 +32,12 @@
         return true;
     }
 
-    /** So many connections are between requests now. */
-    void idle(int connections) {
-        idle = connections;
+    /** Sets the number of connections between requests. */
+    void updateIdle(int connections) {
+        idleConnections = connections;
     }
 
-    /** Connections that are admitted and open. */
+    /** The number of connections that are admitted and open. */
     int open() {
         return open.get();
     }
--- a/src/main/java/starlingvalve/net/InterruptTolerantReads.java
+++ b/src/main/java/starlingvalve/net/InterruptTolerantReads.java
@@ -9,8 +9,8 @@
 import java.nio.channels.ScatteringByteChannel;
 
 /**
- * Read buffers for channels whose class can't be extended: a read that fails for a moment counts as one without bytes,
- * as in {@link TcpChannel}.
+ * Allocates read buffers for channels whose class can't be extended: a read that fails with a transient error counts as
+ * a read of 0 bytes, as in {@link TcpChannel}.
  */
 final class InterruptTolerantReads implements RecvByteBufAllocator {
     private final RecvByteBufAllocator sizes = new AdaptiveRecvByteBufAllocator();
@@ -33,7 +33,7 @@
         @Override
         public int setBytes(int index, ScatteringByteChannel in, int length) throws IOException {
             try {
-                return TcpChannel.countOf(super.setBytes(index, in, length));
+                return TcpChannel.bytesRead(super.setBytes(index, in, length));
             } catch (IOException e) {
                 if (!TransientErrors.isTransient(e)) {
                     throw e;
--- a/src/main/java/starlingvalve/net/RequestDeadline.java
+++ b/src/main/java/starlingvalve/net/RequestDeadline.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Ends a connection whose request does not become whole in time: silent, slow or cut off half way. The time
- * runs from when the connection came up, and then from the first byte of each request.
+ * Closes a connection whose request does not arrive completely in time, as the client is silent, slow or stops halfway.
+ * The time runs from the start of the connection, and for later requests from the first byte of each.
  */
 class RequestDeadline extends ChannelInboundHandlerAdapter {
     private final long limitMs;
@@ -17,26 +17,26 @@
         this.limitMs = limitMs;
     }
 
-    /** A request's bytes have begun to come, or more of them. */
-    void bytes(ChannelHandlerContext ctx) {
-        // For those who keep account of which connections are between requests.
+    /** Called for each read with bytes of a request. */
+    void bytesReceived(ChannelHandlerContext ctx) {
+        // For subclasses that track which connections are between requests.
     }
 
-    /** The connection is about to be closed, as its request did not become whole in time. */
+    /** Called before the connection is closed because its request did not arrive completely in time. */
     void expired(ChannelHandlerContext ctx) {
-        // For those who say why they close.
+        // For subclasses that report why they close a connection.
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        begin(ctx);
+        startTimer(ctx);
         ctx.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        begin(ctx);
-        bytes(ctx);
+        startTimer(ctx);
+        bytesReceived(ctx);
         ctx.fireChannelRead(bytes);
     }
 
@@ -46,20 +46,20 @@
         ctx.fireChannelInactive();
     }
 
-    private void begin(ChannelHandlerContext ctx) {
+    private void startTimer(ChannelHandlerContext ctx) {
         if (timer == null) {
-            Future<?>[] mine = new Future<?>[1];
-            mine[0] = AfterPendingReads.in(ctx.executor(), limitMs, TimeUnit.MILLISECONDS, () -> {
-                if (timer == mine[0]) {
+            Future<?>[] started = new Future<?>[1];
+            started[0] = AfterPendingReads.in(ctx.executor(), limitMs, TimeUnit.MILLISECONDS, () -> {
+                if (timer == started[0]) {
                     expired(ctx);
                     ctx.close();
                 }
             });
-            timer = mine[0];
+            timer = started[0];
         }
     }
 
-    /** The request that was awaited has come in full. */
+    /** Stops the timer, as the awaited request has arrived completely. */
     void requestComplete() {
         if (timer != null) {
             timer.cancel(false);
--- a/src/main/java/starlingvalve/net/StartRetry.java
+++ b/src/main/java/starlingvalve/net/StartRetry.java
@@ -6,56 +6,61 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Repeats what a starting process can't do without while the system refuses it: what an earlier life has taken on is
- * owed, so a disk or a descriptor that is missing for a moment must not end the process.
+ * Retries steps that a process start can't do without, while the system refuses them. Messages that were accepted
+ * before the restart must still be delivered, so a disk or file descriptor that is briefly unavailable must not end the
+ * process.
  */
 final class StartRetry {
-    /** A sender has 30 s to be ready, of which the rest of the start takes a few. */
+    /** A sender must be ready within 30 s, and the rest of the start takes a few of them. */
     static final long RETRY_LIMIT_MS = 25_000;
 
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /** A step of the start that the system may refuse. */
     interface Step<T> {
-        T take() throws IOException;
+        /** Performs the step, and returns its result. */
+        T run() throws IOException;
     }
 
-    private final long patienceNanos;
+    private final long retryLimitNanos;
     private boolean failing;
-    private long failingSince;
+    private long failingSinceNanos;
 
-    /** For so long from the first of several failures in a row. */
-    StartRetry(long patienceMs) {
-        patienceNanos = TimeUnit.MILLISECONDS.toNanos(patienceMs);
+    /** Allows retries for {@code retryLimitMs} from the first of several failures in a row. */
+    StartRetry(long retryLimitMs) {
+        retryLimitNanos = TimeUnit.MILLISECONDS.toNanos(retryLimitMs);
     }
 
-    /** Whether a step that failed just now may be taken again after a pause; tells of the first failure in a line. */
-    synchronized boolean mayRetry(String what, Exception cause) {
+    /** Whether a step that has just failed may be retried after a pause; logs the first of the failures in a row. */
+    synchronized boolean mayRetry(String action, Exception cause) {
         if (!failing) {
             failing = true;
-            failingSince = System.nanoTime();
-            Log.line(what + " fails, and is tried again for a while: " + cause.getMessage());
+            failingSinceNanos = System.nanoTime();
+            Log.line(action + " fails, and is tried again for a while: " + cause.getMessage());
         }
-        return System.nanoTime() - failingSince < patienceNanos;
+        return System.nanoTime() - failingSinceNanos < retryLimitNanos;
     }
 
-    /** A step has succeeded. */
+    /** Notes that a step has succeeded, so the time for retries starts anew with the next failure. */
     synchronized void succeeded() {
         failing = false;
     }
 
-    /** Takes a step until it succeeds; waits between its tries, so it is not called on an event loop. */
-    <T> T runWithRetries(String what, Step<T> step) throws IOException {
+    /**
+     * Performs a step until it succeeds or the time for retries has passed. It sleeps between the tries, so it must not
+     * be called on an event loop.
+     */
+    <T> T runWithRetries(String action, Step<T> step) throws IOException {
         while (true) {
             try {
-                T taken = step.take();
+                T result = step.run();
                 succeeded();
-                return taken;
+                return result;
             } catch (IOException | ChannelException | IllegalStateException e) {
-                if (!mayRetry(what, e)) {
+                if (!mayRetry(action, e)) {
                     throw new IOException(e.getMessage(), e);
                 }
-                LockSupport.parkNanos(PAUSE_NANOS);
+                LockSupport.parkNanos(RETRY_DELAY_NANOS);
             }
         }
     }
--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -43,32 +43,36 @@
 import starlingvalve.InvalidInputException;
 
 /**
- * The client side: checks what is handed in, and answers it. A message is journalled before its 202 is
- * written, and told to the module once that is out; what can't be taken is refused, and bad input is
- * answered without harm to anything else.
+ * The HTTP server for clients: validates their submissions, passes them to a {@link SubmissionHandler} and answers
+ * them. A message is journalled before its 202 is written, and passed to the delivery policy once that answer is
+ * written. A message that can't be accepted is refused with a 503; invalid input is answered with a 4xx and affects
+ * nothing else.
  */
 final class SubmissionServer {
-    private static final int LONGEST_BODY = 64 * 1024;
-    /** A connection between requests is closed after so long. */
-    private static final int IDLE_S = 10;
-    /** A request must be whole so soon after the connection came up, or after its first byte. */
-    private static final long REQUEST_MS = 2000;
-    /** From the begin of a drain: connections between requests are closed from then on, so often. */
-    static final long SWEEP_AFTER_MS = 1000;
-    private static final long SWEEP_MS = 500;
-
-    /** What a request asks to be delivered. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** A connection between requests is closed after this time. */
+    private static final int IDLE_TIMEOUT_S = 10;
+    /** Time for a complete request to arrive, from the start of the connection or from the request's first byte. */
+    private static final long REQUEST_TIMEOUT_MS = 2000;
+    /**
+     * Connections between requests are closed this long after a drain has begun or a successor listens, and then every
+     * {@link #IDLE_CLOSE_PERIOD_MS}.
+     */
+    static final long IDLE_CLOSE_DELAY_MS = 1000;
+    private static final long IDLE_CLOSE_PERIOD_MS = 500;
+
+    /** A message that a client asks to deliver; forwarded to the successor process as JSON during a handover. */
     record Submission(String id, String messageClass, String tenant, Optional<String> key,
                       Optional<String> thread, long destination, long budgetMs, byte[] body) {
     }
 
-    /** What became of a submission. */
+    /** The outcome of a submission. */
     enum Decision {
-        /** It is taken on, or was before and has run: nobody hands it in again. */
+        /** The message is accepted, or was accepted earlier and is delivered: the client doesn't submit it again. */
         ACCEPTED(HttpResponseStatus.ACCEPTED),
-        /** Handing it in again is harmless. */
+        /** The message is not accepted, or was returned unprocessed: submitting it again is harmless. */
         REFUSED(HttpResponseStatus.SERVICE_UNAVAILABLE),
-        /** It was taken on before, and given up. */
+        /** The message was accepted earlier, and its delivery was given up. */
         FAILED(HttpResponseStatus.GONE);
 
         private final HttpResponseStatus status;
@@ -78,61 +82,81 @@
         }
     }
 
-    /** The answer to a submission: why, and for how long to stay away, 0 if nothing is known. */
+    /**
+     * The answer to a submission.
+     *
+     * @param reason why the message is not accepted; empty if it is
+     * @param waitMs time for which the client should not submit again, sent as {@code Retry-After}; 0 if unknown
+     * @param answered called once the answer of an accepted message is written, or can't be: with whether the client
+     *     may have received it
+     */
     record Verdict(Decision decision, String reason, double waitMs, Consumer<Boolean> answered) {
-        /** Taken; to be told whether the client may have heard so, or never will. */
+        /**
+         * An accepted message.
+         *
+         * @param answered called with whether the client may have received the answer; with false if it never will
+         */
         static Verdict taken(Consumer<Boolean> answered) {
             return new Verdict(Decision.ACCEPTED, "", 0, answered);
         }
 
+        /** A refused message; nothing is known about when to submit it again. */
         static Verdict refused(String reason) {
             return refused(reason, 0);
         }
 
+        /** A refused message, to be submitted again after {@code waitMs} at the earliest. */
         static Verdict refused(String reason, double waitMs) {
-            return new Verdict(Decision.REFUSED, reason, waitMs, heard -> { });
+            return new Verdict(Decision.REFUSED, reason, waitMs, mayBeReceived -> { });
         }
 
-        /** A message that has ended is handed in again: what became of it. */
+        /** The verdict on a message that is submitted again after it has ended: its result. */
         static Verdict finished(FinishedMessage message) {
             return switch (message.result()) {
-                case DELIVERED -> taken(heard -> { });
+                case DELIVERED -> taken(mayBeReceived -> { });
                 case REFUSED -> refused("it was handed back", message.waitMs());
-                case FAILED -> new Verdict(Decision.FAILED, "it was given up", 0, heard -> { });
+                case FAILED -> new Verdict(Decision.FAILED, "it was given up", 0, mayBeReceived -> { });
             };
         }
 
+        /** Whether the message is accepted. */
         boolean taken() {
             return decision == Decision.ACCEPTED;
         }
     }
 
-    /** The sender's side of a request. */
+    /** Decides on submissions, and is notified of errors on clients' connections. */
     interface SubmissionHandler {
-        /** Whether messages can be taken now. */
+        /** Whether messages can be accepted now. */
         boolean ready();
 
-        /** Whether the module knows this class; the path names it too. */
+        /** Whether this message class is configured; it is the first element of a request's path, too. */
         boolean knowsClass(String name);
 
+        /** Whether messages of this tenant may be accepted. */
         boolean knowsTenant(String name);
 
+        /** Whether a message of this class must have an idempotency key. */
         boolean needsKey(String messageClass);
 
-        /** Journals a message, or refuses it; a message that is held already is kept. One verdict follows. */
-        void take(Submission submission, Consumer<Verdict> then);
+        /**
+         * Journals a message or refuses it; if a message with its id is open already, that one is kept. Calls
+         * {@code callback} once.
+         */
+        void take(Submission submission, Consumer<Verdict> callback);
 
-        /** A request was answered with an error, and nothing of it taken. */
+        /** A request was answered with a client error, and nothing of it was accepted. */
         default void rejected(HttpResponseStatus status, String reason) {
         }
 
         /**
-         * A client's connection has ended, other than behind an answer that says so or between requests by the client.
+         * A client's connection is closed, other than after an answer with {@code Connection: close}, or by the client
+         * between requests.
          *
-         * @param underRequest whether a part of a request had come over it that was not answered
-         * @param cause what the system said, or nothing
+         * @param unansweredRequest whether at least a part of a request was received that was not answered
+         * @param cause the system's error message, or empty
          */
-        default void closed(CloseReason reason, boolean underRequest, String cause) {
+        default void closed(CloseReason reason, boolean unansweredRequest, String cause) {
         }
 
         /** A connection could not be accepted. */
@@ -140,58 +164,58 @@
         }
     }
 
-    /** Why a client's connection is closed, other than behind an answer that says so. */
+    /** Why a client's connection is closed, other than after an answer with {@code Connection: close}. */
     enum CloseReason {
-        /** It was idle for too long. */
+        /** The connection was idle for too long. */
         IDLE,
-        /** Newer clients need its descriptor. */
+        /** A newer connection needs its file descriptor. */
         MAKES_ROOM,
-        /** There is no descriptor for it. */
+        /** There is no file descriptor for the connection, so it is not admitted. */
         NO_ROOM,
-        /** Clients are sent away. */
+        /** Clients are drained, or the successor listens. */
         SENT_AWAY,
-        /** Its request was not whole in time. */
+        /** Its request did not arrive completely in time. */
         REQUEST_NOT_WHOLE,
-        /** The connection broke, or what came over it can't be read. */
+        /** The connection failed, or its input can't be read. */
         BROKEN,
-        /** The client ended it in the middle of a request. */
+        /** The client closed the connection before its request was answered. */
         PEER
     }
 
-    /** Stands for a close that the system gave no reason for. */
+    /** The cause of a close without an error message of the system. */
     private static final String NO_CAUSE = "";
 
     private final EventLoop loop;
-    private final SubmissionHandler desk;
-    private final SubmissionReader submissions;
-    private final int mostClients;
+    private final SubmissionHandler handler;
+    private final SubmissionReader submissionReader;
+    private final int maxClients;
     private final ClientAdmission admission;
-    /** Connections between requests, the longest idle first. */
+    /** Connections between requests, the one that is idle longest first. */
     private final Set<Channel> idle = new LinkedHashSet<>();
     private final ServerBootstrap bootstrap;
     private Optional<TcpListener> listener = Optional.empty();
     private final Set<Channel> clients = new LinkedHashSet<>();
     private boolean closing;
     private boolean draining;
-    private boolean left;
-    private boolean sweepDue;
-    /** Nothing that clients send is read any more. */
-    private boolean readsNoMore;
+    private boolean successorListens;
+    private boolean idleCloseScheduled;
+    /** Nothing more is read from any connection. */
+    private boolean readingStopped;
 
-    /** Accepts on the loop that also serves the connections, for tests. */
-    SubmissionServer(EventLoop loop, int mostClients, SubmissionHandler desk) {
-        this(loop, loop, mostClients, desk);
+    /** For tests: accepts connections on the event loop that also serves them. */
+    SubmissionServer(EventLoop loop, int maxClients, SubmissionHandler handler) {
+        this(loop, loop, maxClients, handler);
     }
 
     /** {@code acceptor} accepts connections and does nothing else; {@code loop} serves them. */
-    SubmissionServer(EventLoop acceptor, EventLoop loop, int mostClients, SubmissionHandler desk) {
+    SubmissionServer(EventLoop acceptor, EventLoop loop, int maxClients, SubmissionHandler handler) {
         this.loop = loop;
-        this.desk = desk;
-        this.submissions = new SubmissionReader(desk);
-        this.mostClients = mostClients;
-        this.admission = new ClientAdmission(mostClients);
+        this.handler = handler;
+        this.submissionReader = new SubmissionReader(handler);
+        this.maxClients = maxClients;
+        this.admission = new ClientAdmission(maxClients);
         bootstrap = new ServerBootstrap().group(acceptor, loop)
-                .channelFactory(() -> new TcpListener(new Admission()))
+                .channelFactory(() -> new TcpListener(new CountingAdmission()))
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .option(ChannelOption.SO_BACKLOG, 512)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -199,74 +223,77 @@
                 .childHandler(pipeline());
     }
 
-    /** What each connection goes through. */
+    /** Sets up the pipeline of an accepted connection. */
     ChannelInitializer<Channel> pipeline() {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_S), new Between(),
-                        new HttpServerCodec(), new Bodies(), new Client());
+                channel.pipeline().addLast(new IdleStateHandler(0, 0, IDLE_TIMEOUT_S), new ClientRequestDeadline(),
+                        new HttpServerCodec(), new BodyAggregator(), new ClientHandler());
             }
         };
     }
 
-    /** Begins to listen, also beside another process of this sender. */
+    /** Listens at an address, where another process of this sender may be listening, too. */
     ChannelFuture listen(InetSocketAddress address) {
-        ChannelFuture bound = bootstrap.bind(address);
-        // Where no socket could be made, the channel of the failed future is none of these.
-        if (bound.channel() instanceof TcpListener made) {
-            listener = Optional.of(made);
+        ChannelFuture bindFuture = bootstrap.bind(address);
+        // If no socket could be created, the failed future has a channel of another type.
+        if (bindFuture.channel() instanceof TcpListener created) {
+            listener = Optional.of(created);
         }
-        return bound;
+        return bindFuture;
     }
 
-    /** Called on the acceptor's thread; the desk is the loop's. */
-    private final class Admission implements TcpListener.Admission {
+    /** Called on the acceptor's event loop; the handler is called on the loop that serves connections. */
+    private final class CountingAdmission implements TcpListener.Admission {
         @Override
         public boolean admit(Channel accepted) {
             boolean admitted = admission.admit(accepted);
             if (!admitted) {
-                loop.execute(() -> desk.closed(CloseReason.NO_ROOM, false, NO_CAUSE));
+                loop.execute(() -> handler.closed(CloseReason.NO_ROOM, false, NO_CAUSE));
             }
             return admitted;
         }
 
         @Override
         public void acceptFailed(Exception cause) {
-            loop.execute(() -> desk.acceptFailed(cause));
+            loop.execute(() -> handler.acceptFailed(cause));
         }
     }
 
-    /** Whether a part of a request has come over it that is not answered. */
-    private boolean isUnderRequest(Channel client) {
+    /** Whether at least a part of a request was received from this client that is not answered. */
+    private boolean hasUnansweredRequest(Channel client) {
         return clients.contains(client) && !idle.contains(client);
     }
 
-    private void nowIdle(Channel client) {
+    private void addIdle(Channel client) {
         idle.add(client);
-        admission.idle(idle.size());
+        admission.updateIdle(idle.size());
     }
 
-    private void notIdle(Channel client) {
+    private void removeIdle(Channel client) {
         idle.remove(client);
-        admission.idle(idle.size());
+        admission.updateIdle(idle.size());
     }
 
-    /** Takes no new connection for now; {@link #listen} begins again. */
+    /** Stops accepting connections; {@link #listen} starts again. */
     void stopListening() {
         listener.ifPresent(TcpListener::acceptPendingAndClose);
     }
 
-    /** A new process listens at the address: this one ends its connections, each with its next answer. */
+    /**
+     * Stops accepting, as the successor listens at the address. Each connection is closed with its next answer; those
+     * between requests are closed after {@link #IDLE_CLOSE_DELAY_MS}.
+     */
     void closeForSuccessor() {
         listener.ifPresent(TcpListener::acceptPendingAndClose);
-        left = true;
-        sweepLater(SWEEP_AFTER_MS);
+        successorListens = true;
+        scheduleIdleClose(IDLE_CLOSE_DELAY_MS);
     }
 
     /**
-     * Takes no new connection, and ends each that stands with the answer to its next request. None is closed
-     * between requests: one that is on its way to it would be ended without an answer.
+     * Stops accepting, and closes each connection with its next answer. None is closed between requests: a request
+     * that is on its way would stay unanswered.
      */
     void close() {
         closing = true;
@@ -274,59 +301,63 @@
     }
 
     /**
-     * The process may be gone at any moment: a request that was read could go unanswered, one that was not read is
-     * sent once more by its client.
+     * Reads no more requests, as the process may end at any moment: a request that was read might stay unanswered,
+     * while one that was not read is sent again by its client.
      */
     void stopReading() {
-        readsNoMore = true;
+        readingStopped = true;
         clients.forEach(client -> client.config().setAutoRead(false));
     }
 
     /**
-     * Sends clients away, or takes them again. Each answer then ends its connection; those between requests
-     * are closed only after a time, since new ones come until the front has heard.
+     * Starts or ends a drain of clients. During a drain each answer closes its connection. Connections between requests
+     * are closed repeatedly, first after {@link #IDLE_CLOSE_DELAY_MS}: clients keep connecting until the front end
+     * that routes them has noticed the drain.
      */
     void drain(boolean on) {
         draining = on;
-        sweepLater(SWEEP_AFTER_MS);
+        scheduleIdleClose(IDLE_CLOSE_DELAY_MS);
     }
 
-    private void sweepLater(long ms) {
-        if ((draining || left) && !sweepDue) {
-            sweepDue = true;
-            loop.schedule(this::sweep, ms, TimeUnit.MILLISECONDS);
+    private void scheduleIdleClose(long ms) {
+        if ((draining || successorListens) && !idleCloseScheduled) {
+            idleCloseScheduled = true;
+            loop.schedule(this::closeIdle, ms, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void sweep() {
-        sweepDue = false;
-        if (draining || left) {
+    private void closeIdle() {
+        idleCloseScheduled = false;
+        if (draining || successorListens) {
             new ArrayList<>(idle).forEach(client -> close(client, CloseReason.SENT_AWAY));
-            sweepLater(SWEEP_MS);
+            scheduleIdleClose(IDLE_CLOSE_PERIOD_MS);
         }
     }
 
-    /** Where it listens. */
+    /** The address at which the server listens. */
     InetSocketAddress address() {
         return listener.orElseThrow().localAddress();
     }
 
-    /** Connections that clients have open. */
+    /** The number of open connections of clients. */
     int clients() {
         return clients.size();
     }
 
-    /** Whether no client has a connection, and none can come any more. */
+    /** Whether no connection is open and the listener is closed. */
     boolean isTerminated() {
         return clients.isEmpty() && admission.open() == 0 && listener.filter(TcpListener::isOpen).isEmpty();
     }
 
-    /** Makes room for a connection that has just become idle itself; if no other one is, it is the one closed. */
+    /**
+     * Makes room for a new connection, which counts as idle itself: if no other connection is idle, the new one is
+     * closed.
+     */
     private void closeLongestIdle() {
-        Channel victim = idle.iterator().next();
-        close(victim, CloseReason.MAKES_ROOM);
-        // Its end is told only after this burst of connections, each of which needs another victim.
-        notIdle(victim);
+        Channel longestIdle = idle.iterator().next();
+        close(longestIdle, CloseReason.MAKES_ROOM);
+        // channelInactive is called only after this burst of new connections, each of which must close another one.
+        removeIdle(longestIdle);
     }
 
     private void close(Channel client, CloseReason reason) {
@@ -334,69 +365,70 @@
     }
 
     private void close(Channel client, CloseReason reason, String cause) {
-        if (!MessageRules.mayClose(reason, isUnderRequest(client))) {
+        if (!MessageRules.mayClose(reason, hasUnansweredRequest(client))) {
             return;
         }
-        client.pipeline().get(Client.class).closes(client, reason, cause);
+        client.pipeline().get(ClientHandler.class).reportClose(client, reason, cause);
         client.close();
     }
 
-    /** A connection with part of a request is not between requests. */
-    private final class Between extends RequestDeadline {
-        Between() {
-            super(REQUEST_MS);
+    /** Limits the time for a request to arrive; a connection is not idle once bytes of a request are received. */
+    private final class ClientRequestDeadline extends RequestDeadline {
+        ClientRequestDeadline() {
+            super(REQUEST_TIMEOUT_MS);
         }
 
         @Override
-        void bytes(ChannelHandlerContext ctx) {
-            notIdle(ctx.channel());
+        void bytesReceived(ChannelHandlerContext ctx) {
+            removeIdle(ctx.channel());
         }
 
         @Override
         void expired(ChannelHandlerContext ctx) {
-            ctx.pipeline().get(Client.class).closes(ctx.channel(), CloseReason.REQUEST_NOT_WHOLE, NO_CAUSE);
+            ctx.pipeline().get(ClientHandler.class).reportClose(ctx.channel(), CloseReason.REQUEST_NOT_WHOLE, NO_CAUSE);
         }
     }
 
-    /** Collects bodies; a longer one is answered 413, and what the client still sends is read and dropped. */
-    private static final class Bodies extends HttpObjectAggregator {
-        Bodies() {
-            super(LONGEST_BODY);
+    /** Collects request bodies; one that is too long is answered with 413, and further input is read and dropped. */
+    private static final class BodyAggregator extends HttpObjectAggregator {
+        BodyAggregator() {
+            super(MAX_BODY_BYTES);
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            FullHttpResponse answer = answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            ctx.pipeline().get(Client.class).ended = true;
-            // Closing at once would reset the connection under a client that still sends, before it reads.
-            ctx.writeAndFlush(answer).addListener(f -> ctx.executor().schedule(() -> ctx.close(), 1,
+            FullHttpResponse response = response(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            ctx.pipeline().get(ClientHandler.class).lastResponseSent = true;
+            // If closed at once, the connection would be reset before a client that still sends reads the answer.
+            ctx.writeAndFlush(response).addListener(f -> ctx.executor().schedule(() -> ctx.close(), 1,
                     TimeUnit.SECONDS));
         }
     }
 
-    private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> {
-        /** Its last answer is written: what it still sends is no request. */
-        private boolean ended;
-        /** Why it is closed is told. */
-        private boolean closeTold;
+    /** Handles the requests of one client's connection. */
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        /** The last answer of this connection is written; further input is ignored. */
+        private boolean lastResponseSent;
+        /** The handler was notified of the close. */
+        private boolean closeReported;
 
-        /** Tells once why this connection ends. */
-        private void closes(Channel client, CloseReason reason, String cause) {
-            if (!closeTold && !ended) {
-                closeTold = true;
-                desk.closed(reason, isUnderRequest(client), cause);
+        /** Notifies the handler, once, why this connection is closed. */
+        private void reportClose(Channel client, CloseReason reason, String cause) {
+            if (!closeReported && !lastResponseSent) {
+                closeReported = true;
+                handler.closed(reason, hasUnansweredRequest(client), cause);
             }
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            nowIdle(ctx.channel());
+            addIdle(ctx.channel());
             clients.add(ctx.channel());
-            if (readsNoMore) {
+            if (readingStopped) {
                 ctx.channel().config().setAutoRead(false);
             }
-            if (clients.size() > mostClients) {
+            if (clients.size() > maxClients) {
                 closeLongestIdle();
             }
         }
@@ -404,83 +436,84 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (!idle.contains(ctx.channel())) {
-                closes(ctx.channel(), CloseReason.PEER, NO_CAUSE);
+                reportClose(ctx.channel(), CloseReason.PEER, NO_CAUSE);
             }
             clients.remove(ctx.channel());
-            notIdle(ctx.channel());
+            removeIdle(ctx.channel());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (ended) {
+            if (lastResponseSent) {
                 return;
             }
-            ctx.pipeline().get(Between.class).requestComplete();
-            notIdle(ctx.channel());
+            ctx.pipeline().get(ClientRequestDeadline.class).requestComplete();
+            removeIdle(ctx.channel());
             String path = request.uri().split("\\?", 2)[0];
             if (request.decoderResult().isFailure()) {
-                end(ctx, request, HttpResponseStatus.BAD_REQUEST, "not HTTP", true);
+                respond(ctx, request, HttpResponseStatus.BAD_REQUEST, "not HTTP", true);
             } else if (path.equals("/healthz")) {
-                end(ctx, request, desk.ready() && !draining ? HttpResponseStatus.OK
+                respond(ctx, request, handler.ready() && !draining ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE, "", false);
-            } else if (!desk.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
-                end(ctx, request, HttpResponseStatus.NOT_FOUND, "no such path", false);
+            } else if (!handler.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
+                respond(ctx, request, HttpResponseStatus.NOT_FOUND, "no such path", false);
             } else if (!request.method().equals(HttpMethod.POST)) {
-                end(ctx, request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST",
+                respond(ctx, request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST",
                         false);
             } else {
-                handIn(ctx, request, path);
+                submit(ctx, request, path);
             }
         }
 
-        private void handIn(ChannelHandlerContext ctx, FullHttpRequest request, String path) {
+        private void submit(ChannelHandlerContext ctx, FullHttpRequest request, String path) {
             Submission submission;
             try {
-                submission = submissions.read(request, path.split("/", 3)[1]);
-            } catch (InvalidInputException bad) {
-                end(ctx, request, HttpResponseStatus.BAD_REQUEST, bad.getMessage(), false);
+                submission = submissionReader.read(request, path.split("/", 3)[1]);
+            } catch (InvalidInputException invalid) {
+                respond(ctx, request, HttpResponseStatus.BAD_REQUEST, invalid.getMessage(), false);
                 return;
             }
             boolean close = !HttpUtil.isKeepAlive(request);
-            desk.take(submission, verdict -> {
+            handler.take(submission, verdict -> {
                 if (verdict.taken()) {
                     ChannelProgressivePromise written = ctx.newProgressivePromise();
                     written.addListener(new ResponseWriteListener(verdict.answered()));
-                    end(ctx, close, answer(HttpResponseStatus.ACCEPTED, ""), written);
+                    respond(ctx, close, response(HttpResponseStatus.ACCEPTED, ""), written);
                 } else {
-                    FullHttpResponse refusal = answer(verdict.decision().status, verdict.reason());
+                    FullHttpResponse refusal = response(verdict.decision().status, verdict.reason());
                     if (verdict.waitMs() > 0) {
                         refusal.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(verdict.waitMs()));
                     }
-                    end(ctx, close, refusal);
+                    respond(ctx, close, refusal);
                 }
             });
         }
 
-        private ChannelFuture end(ChannelHandlerContext ctx, FullHttpRequest request,
+        private ChannelFuture respond(ChannelHandlerContext ctx, FullHttpRequest request,
                 HttpResponseStatus status, String text, boolean close) {
             if (status.codeClass() == HttpStatusClass.CLIENT_ERROR) {
-                desk.rejected(status, text);
+                handler.rejected(status, text);
             }
-            return end(ctx, close || !HttpUtil.isKeepAlive(request), answer(status, text));
+            return respond(ctx, close || !HttpUtil.isKeepAlive(request), response(status, text));
         }
 
-        private ChannelFuture end(ChannelHandlerContext ctx, boolean close, FullHttpResponse answer) {
-            return end(ctx, close, answer, ctx.newPromise());
+        private ChannelFuture respond(ChannelHandlerContext ctx, boolean close, FullHttpResponse response) {
+            return respond(ctx, close, response, ctx.newPromise());
         }
 
-        private ChannelFuture end(ChannelHandlerContext ctx, boolean close, FullHttpResponse answer,
+        private ChannelFuture respond(ChannelHandlerContext ctx, boolean close, FullHttpResponse response,
                 ChannelPromise promise) {
-            boolean last = close || closing || draining || left;
-            if (last) {
-                ended = true;
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            boolean lastResponse = close || closing || draining || successorListens;
+            if (lastResponse) {
+                lastResponseSent = true;
+                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             } else if (ctx.channel().isActive()) {
-                // One that went while its verdict was out would stand here for good, and make no room.
-                nowIdle(ctx.channel());
+                // A connection that closed before its verdict came would stay among the idle ones forever, and
+                // closing it would make no room.
+                addIdle(ctx.channel());
             }
-            ChannelFuture written = ctx.writeAndFlush(answer, promise);
-            return last ? written.addListener(ChannelFutureListener.CLOSE) : written;
+            ChannelFuture written = ctx.writeAndFlush(response, promise);
+            return lastResponse ? written.addListener(ChannelFutureListener.CLOSE) : written;
         }
 
         @Override
@@ -496,36 +529,36 @@
         }
     }
 
-    /** Finds out whether a client may have heard an answer: one of which a part went out, it may have. */
+    /** Reports whether a client may have received an answer; it may have if a part of the answer was written. */
     private static final class ResponseWriteListener
             implements GenericProgressiveFutureListener<ChannelProgressiveFuture> {
-        private final Consumer<Boolean> heard;
-        private boolean begun;
+        private final Consumer<Boolean> onDone;
+        private boolean partlyWritten;
 
-        ResponseWriteListener(Consumer<Boolean> heard) {
-            this.heard = heard;
+        ResponseWriteListener(Consumer<Boolean> onDone) {
+            this.onDone = onDone;
         }
 
         @Override
         public void operationProgressed(ChannelProgressiveFuture write, long progress, long total) {
-            begun |= progress > 0;
+            partlyWritten |= progress > 0;
         }
 
         @Override
         public void operationComplete(ChannelProgressiveFuture write) {
-            heard.accept(begun || write.isSuccess());
+            onDone.accept(partlyWritten || write.isSuccess());
         }
     }
 
-    /** As the protocol has it: with decimals. */
+    /** The value of {@code Retry-After}, which in this protocol is in seconds with decimals. */
     private static String seconds(double ms) {
         return Double.toString(Math.ceil(ms) / 1000);
     }
 
-    private static FullHttpResponse answer(HttpResponseStatus status, String text) {
-        FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
+    private static FullHttpResponse response(HttpResponseStatus status, String text) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-        return answer;
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        return response;
     }
 }
--- a/src/main/java/starlingvalve/net/TcpChannel.java
+++ b/src/main/java/starlingvalve/net/TcpChannel.java
@@ -8,26 +8,27 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A TCP connection that outlasts reads and writes which fail for a moment. The JDK tells a read that a signal broke off
- * by a count below that of the end of the stream, and the network library takes every negative count for that end.
+ * A TCP connection that stays open if a read or write fails with a transient error. For a read that a signal
+ * interrupted, the JDK returns a count below {@link #END_OF_STREAM}, but Netty treats every negative count as the end
+ * of the stream.
  */
 class TcpChannel extends NioSocketChannel {
-    /** What a read returns at the end of the stream; below it no bytes were read for another reason. */
+    /** The count of a read at the end of the stream; a lower count means that no bytes were read for another reason. */
     static final int END_OF_STREAM = -1;
 
     TcpChannel() {
     }
 
-    /** One that was accepted. */
+    /** A connection that a listener accepted. */
     TcpChannel(Channel listener, SocketChannel accepted) {
         super(listener, accepted);
     }
 
-    /** Without bytes the event loop comes back as long as the socket is readable. */
+    /** Returns 0 on a transient error; the event loop reads again while the socket is readable. */
     @Override
-    protected int doReadBytes(ByteBuf into) throws Exception {
+    protected int doReadBytes(ByteBuf buffer) throws Exception {
         try {
-            return countOf(super.doReadBytes(into));
+            return bytesRead(super.doReadBytes(buffer));
         } catch (IOException e) {
             if (!TransientErrors.isTransient(e)) {
                 throw e;
@@ -36,7 +37,7 @@
         }
     }
 
-    /** What is left is written once the socket is writable, which it may be at once. */
+    /** After a transient error the rest is written once the socket is writable, which may be at once. */
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
         try {
@@ -49,8 +50,8 @@
         }
     }
 
-    /** The bytes of a read as the network library has to know them: none where a signal broke it off. */
-    static int countOf(int read) {
+    /** The count of a read as Netty expects it: 0 if a signal interrupted the read. */
+    static int bytesRead(int read) {
         return read < END_OF_STREAM ? 0 : read;
     }
 }
--- a/src/main/java/starlingvalve/net/TcpListener.java
+++ b/src/main/java/starlingvalve/net/TcpListener.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A listening socket that goes on accepting through failures. It runs on an event loop of its own: the JDK repeats an
- * accept that the system reports as aborted for as long as that lasts, which must hold up nothing else.
+ * A listening socket that continues to accept after failures. It runs on an event loop of its own: the JDK repeats an
+ * accept for as long as the system reports it as aborted, and nothing else may be blocked meanwhile.
  */
 final class TcpListener extends NioServerSocketChannel {
-    /** What is done with connections; called on the listener's event loop. */
+    /** Decides which connections are admitted; called on the listener's event loop. */
     interface Admission {
-        /** Admits everything. */
+        /** Admits every connection, and ignores failures. */
         Admission ALL = new Admission() {
             @Override
             public boolean admit(Channel accepted) {
@@ -25,20 +25,20 @@
 
             @Override
             public void acceptFailed(Exception cause) {
-                // Nobody asks.
+                // Not reported.
             }
         };
 
-        /** Whether there is room for one more connection; one without is closed unread. */
+        /** Whether this connection is admitted; if not, it is closed without being read. */
         boolean admit(Channel accepted);
 
-        /** Accepting begins to fail. */
+        /** Called for the first of several failures to accept in a row. */
         void acceptFailed(Exception cause);
     }
 
     private final Admission admission;
-    private boolean failing;
-    /** The listener closes once all that waits is accepted. */
+    private boolean acceptFailing;
+    /** The listener closes once all connections in the backlog are accepted. */
     private boolean closing;
 
     TcpListener(Admission admission) {
@@ -46,18 +46,18 @@
     }
 
     /**
-     * Accepts one connection. One that is not admitted is closed before the selector knows it: only so is its
-     * descriptor free again at once.
+     * Accepts one connection. A connection that is not admitted is closed before it is registered with the selector:
+     * otherwise its file descriptor would not be free at once.
      */
     @Override
     protected int doReadMessages(List<Object> accepted) {
         try {
             SocketChannel socket = javaChannel().accept();
-            failing = false;
+            acceptFailing = false;
             if (socket == null) {
                 return 0;
             }
-            add(socket, accepted);
+            addIfAdmitted(socket, accepted);
             return 1;
         } catch (IOException e) {
             acceptFailed(e);
@@ -65,7 +65,7 @@
         }
     }
 
-    private void add(SocketChannel socket, List<Object> accepted) throws IOException {
+    private void addIfAdmitted(SocketChannel socket, List<Object> accepted) throws IOException {
         TcpChannel channel;
         try {
             channel = new TcpChannel(this, socket);
@@ -81,8 +81,8 @@
     }
 
     private void acceptFailed(IOException cause) {
-        if (!failing) {
-            failing = true;
+        if (!acceptFailing) {
+            acceptFailing = true;
             admission.acceptFailed(cause);
         }
         if (!closing) {
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Accepts every connection that has come, then closes. As long as the selector knows the socket, closing it
-     * takes effect only with the next select, and what connects until then is reset. So the selector forgets it
-     * first, and one more select later nothing lies between the last accept and the close.
+     * Accepts the connections in the backlog, then closes the listener. While a socket is registered with the selector,
+     * its close takes effect only at the next select, and clients that connect until then are reset. So the socket is
+     * deregistered first; after one more select, the close takes effect right after the last accept.
      */
     void acceptPendingAndClose() {
         EventLoop acceptor = eventLoop();
@@ -102,26 +102,26 @@
                 return;
             }
             closing = true;
-            acceptAll();
+            acceptPending();
             deregister().addListener(deregistered ->
                     AfterPendingReads.next(acceptor, () -> acceptRestAndClose(acceptor)));
         });
     }
 
     private void acceptRestAndClose(EventLoop acceptor) {
-        acceptAll();
-        if (failing) {
+        acceptPending();
+        if (acceptFailing) {
             acceptor.schedule(() -> acceptRestAndClose(acceptor), AcceptRetry.RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
             close();
         }
     }
 
-    /** Takes what waits to be accepted, which closing would reset. */
-    private void acceptAll() {
+    /** Accepts the connections in the backlog, which would be reset by closing the listener. */
+    private void acceptPending() {
         List<Object> accepted = new ArrayList<>();
         while (doReadMessages(accepted) > 0) {
-            // Each call takes one.
+            // Each call accepts one connection.
         }
         accepted.forEach(pipeline()::fireChannelRead);
     }
--- a/src/main/java/starlingvalve/net/TransientErrors.java
+++ b/src/main/java/starlingvalve/net/TransientErrors.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * The one place that knows which errors of a read or write say nothing of the connection: the machine lacks something for
- * a moment, and the same call may be made again. All others end the connection.
+ * Decides which errors of a read or write are transient: the connection is intact, the machine briefly lacks a resource
+ * or the call was interrupted, and the same call may be repeated. All other errors end the connection.
  */
 final class TransientErrors {
-    /** By the system's texts, as the JDK hands on nothing else: EINTR, EAGAIN, ENOMEM and ENOBUFS. */
-    private static final Set<String> TEXTS = Set.of("Interrupted system call", "Resource temporarily unavailable",
-            "Cannot allocate memory", "No buffer space available");
+    /** The system's texts for EINTR, EAGAIN, ENOMEM and ENOBUFS: the JDK passes on the text only. */
+    private static final Set<String> TRANSIENT_ERROR_TEXTS = Set.of("Interrupted system call",
+            "Resource temporarily unavailable", "Cannot allocate memory", "No buffer space available");
 
     private TransientErrors() {
     }
 
-    /** Whether the call that failed so may be made again on the same connection. */
+    /** Whether the call that failed with this error may be repeated on the same connection. */
     static boolean isTransient(IOException error) {
-        return error.getMessage() != null && TEXTS.contains(error.getMessage());
+        return error.getMessage() != null && TRANSIENT_ERROR_TEXTS.contains(error.getMessage());
     }
 }
--- a/src/main/java/starlingvalve/net/UnreadInputChannel.java
+++ b/src/main/java/starlingvalve/net/UnreadInputChannel.java
@@ -3,21 +3,21 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** A connection that can tell, outside a read of the event loop, whether something has come over it. */
+/** A connection that can be checked for received input between the reads of the event loop. */
 class UnreadInputChannel extends TcpChannel {
-    /** Reads that signals break off one after another; beyond them the connection counts as unusable. */
-    private static final int MOST_INTERRUPTIONS = 16;
+    /** Reads in a row that may be interrupted by signals; after more of them the connection counts as unusable. */
+    private static final int MAX_INTERRUPTIONS = 16;
 
     /**
-     * Whether bytes, or the end of the stream, wait in the socket that the event loop has not read yet. A byte is
-     * taken out for that, so the connection is of no more use if so.
+     * Whether the socket holds bytes, or the end of the stream, that the event loop has not read yet. The check reads a
+     * byte, so the connection can't be used any more if this returns true.
      */
     final boolean hasUnreadInput() {
         try {
-            ByteBuffer into = ByteBuffer.allocate(1);
-            int count = javaChannel().read(into);
-            for (int i = 0; i < MOST_INTERRUPTIONS && count < END_OF_STREAM; i++) {
-                count = javaChannel().read(into);
+            ByteBuffer buffer = ByteBuffer.allocate(1);
+            int count = javaChannel().read(buffer);
+            for (int i = 0; i < MAX_INTERRUPTIONS && count < END_OF_STREAM; i++) {
+                count = javaChannel().read(buffer);
             }
             return count != 0;
         } catch (IOException e) {
