--- a/src/main/java/starlingvalve/net/TcpListener.java
+++ b/src/main/java/starlingvalve/net/TcpListener.java
@@ -37,7 +37,8 @@
     }
 
     private final Admission admission;
-    private boolean acceptFailing;
+    /** The latest accept failed. */
+    private boolean failing;
     /** The listener closes once all connections in the backlog are accepted. */
     private boolean closing;
 
@@ -53,7 +54,7 @@
     protected int doReadMessages(List<Object> accepted) {
         try {
             SocketChannel socket = javaChannel().accept();
-            acceptFailing = false;
+            failing = false;
             if (socket == null) {
                 return 0;
             }
@@ -81,8 +82,8 @@
     }
 
     private void acceptFailed(IOException cause) {
-        if (!acceptFailing) {
-            acceptFailing = true;
+        if (!failing) {
+            failing = true;
             admission.acceptFailed(cause);
         }
         if (!closing) {
@@ -110,7 +111,7 @@
 
     private void acceptRestAndClose(EventLoop acceptor) {
         acceptPending();
-        if (acceptFailing) {
+        if (failing) {
             acceptor.schedule(() -> acceptRestAndClose(acceptor), AcceptRetry.RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
             close();
