--- a/src/test/java/starlingvalve/net/ClientConnectionTest.java
+++ b/src/test/java/starlingvalve/net/ClientConnectionTest.java
@@ -10,27 +10,27 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a sender answers to clients that ask well, badly or in odd pieces. */
+/** Tests the answers of a sender to valid, invalid, split and incomplete requests of clients. */
 class ClientConnectionTest extends SenderFixture {
     @Test
-    void badInputIsAnsweredAndHarmsNothing() throws Exception {
+    void invalidRequestsAreAnsweredAndNothingIsAccepted() throws Exception {
         start();
-        String good = message("id", "order", "hello");
+        String valid = message("id", "order", "hello");
         Map<String, String> answers = Map.ofEntries(
                 Map.entry("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", "404"),
                 Map.entry("GET / HTTP/1.1\r\nHost: x\r\n\r\n", "404"),
                 Map.entry("GET /order HTTP/1.1\r\nHost: x\r\n\r\n", "405"),
                 Map.entry("\u0001\u0002 rubbish\r\n\r\n", "400"),
-                Map.entry(good.replace("X-Call-Id: id\r\n", ""), "400"),
-                Map.entry(good.replace("X-Budget-Ms: 24000", "X-Budget-Ms: soon"), "400"),
-                Map.entry(good.replace("X-Budget-Ms: 24000", "X-Budget-Ms: -1"), "400"),
-                Map.entry(good.replace("dest=7", "dest=x"), "400"),
-                Map.entry(good.replace("dest=7", "nothing"), "400"),
-                Map.entry(good.replace("dest=7", "dest=70000"), "503"),
-                Map.entry(good.replace("X-Caller: acme", "X-Caller: nobody"), "400"),
-                Map.entry(good.replace("Idempotency-Key: key-id\r\n", ""), "400"),
-                Map.entry(good.replace("X-Call-Class: order", "X-Call-Class: once"), "400"),
-                Map.entry(good.replace("Content-Length: 5", "Content-Length: five"), "400"));
+                Map.entry(valid.replace("X-Call-Id: id\r\n", ""), "400"),
+                Map.entry(valid.replace("X-Budget-Ms: 24000", "X-Budget-Ms: soon"), "400"),
+                Map.entry(valid.replace("X-Budget-Ms: 24000", "X-Budget-Ms: -1"), "400"),
+                Map.entry(valid.replace("dest=7", "dest=x"), "400"),
+                Map.entry(valid.replace("dest=7", "nothing"), "400"),
+                Map.entry(valid.replace("dest=7", "dest=70000"), "503"),
+                Map.entry(valid.replace("X-Caller: acme", "X-Caller: nobody"), "400"),
+                Map.entry(valid.replace("Idempotency-Key: key-id\r\n", ""), "400"),
+                Map.entry(valid.replace("X-Call-Class: order", "X-Call-Class: once"), "400"),
+                Map.entry(valid.replace("Content-Length: 5", "Content-Length: five"), "400"));
         for (Map.Entry<String, String> e : answers.entrySet()) {
             StubServer.Message answer = exchange(client(), e.getKey());
             assertEquals(e.getValue(), answer.line().split(" ")[1], e.getKey());
@@ -40,22 +40,22 @@
     }
 
     @Test
-    void bodiesMayHaveSixtyFourKibAndAnyBytes() throws Exception {
+    void bodyMayHave64KibOfAnyBytes() throws Exception {
         start();
-        StringBuilder any = new StringBuilder();
+        StringBuilder body = new StringBuilder();
         for (int i = 0; i < 64 * 1024; i++) {
-            any.append((char) (i % 256));
+            body.append((char) (i % 256));
         }
-        assertEquals("202", exchange(client(), message("big", "order", any.toString())).line().split(" ")[1]);
+        assertEquals("202", exchange(client(), message("big", "order", body.toString())).line().split(" ")[1]);
         awaitEmptyJournal();
-        assertEquals(any.toString(), calls().get(0).body());
-        String long413 = message("long", "order", any + "x");
-        assertEquals("413", exchange(client(), long413).line().split(" ")[1]);
+        assertEquals(body.toString(), calls().get(0).body());
+        String tooLong = message("long", "order", body + "x");
+        assertEquals("413", exchange(client(), tooLong).line().split(" ")[1]);
         assertEquals(1, calls().size());
     }
 
     @Test
-    void aChunkedBodyInPiecesIsTaken() throws Exception {
+    void chunkedBodyInSingleBytesIsAccepted() throws Exception {
         start();
         Socket client = client();
         for (char c : message("one", "order", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aFullSenderRefuses() throws Exception {
+    void fullSenderRefusesSubmissions() throws Exception {
         script(StubServer.silent());
         start();
         for (int i = 0; i < MAX_OPEN; i++) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void theSameIdIsTakenOnce() throws Exception {
+    void sameIdIsAcceptedOnce() throws Exception {
         script(StubServer.silent());
         start();
         submit("one", "order");
@@ -88,25 +88,25 @@
     }
 
     @Test
-    void aClientThatGoesBeforeItsRequestIsWholeIsOwedNothing() throws Exception {
+    void incompleteRequestOfClosedConnectionIsNotAccepted() throws Exception {
         start();
-        Socket gone = client();
-        String whole = message("gone", "order", "hello");
-        StubServer.write(gone, whole.substring(0, whole.length() - 2));
-        gone.close();
+        Socket closedClient = client();
+        String request = message("gone", "order", "hello");
+        StubServer.write(closedClient, request.substring(0, request.length() - 2));
+        closedClient.close();
         submit("one", "order");
         awaitEmptyJournal();
         assertEquals(List.of("one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
     }
 
     @Test
-    void silentClientsNeverFillTheDescriptors() throws Exception {
+    void silentClientsDoNotExhaustDescriptors() throws Exception {
         start();
         for (int i = 0; i < 150; i++) {
             client();
         }
-        // 256 descriptors: their requests may take a third of them.
-        StubServer.await("a third of the descriptors", () -> openClients() == 86);
+        // Of 256 descriptors, requests of clients may take a third.
+        StubServer.await("silent clients hold a third of the descriptors", () -> openClients() == 86);
     }
 
     private long openClients() {
--- a/src/test/java/starlingvalve/net/CrowdTest.java
+++ b/src/test/java/starlingvalve/net/CrowdTest.java
@@ -21,18 +21,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The program as a process of its own, under a limit of the system for its descriptors: more idle clients than it
- * may hold come while discovery is silent, and keep coming.
+ * Runs the program as a separate process with a limited number of file descriptors. More idle clients than it can hold
+ * connect while discovery does not answer, and further ones keep connecting.
  */
 class CrowdTest {
-    /** A client gives up after so long: it was neither answered nor closed. */
-    private static final int PATIENCE_MS = 10_000;
+    /** Time after which a client fails the test, as it was neither answered nor closed. */
+    private static final int CLIENT_TIMEOUT_MS = 10_000;
     private static final double DISK_MB = 0.05;
     private static final int BODY_BYTES = 4000;
-    /** More than the highest limit of descriptors, so the sender can't hold so many. */
-    private static final int MOST_OPEN_CLIENTS = 512;
-    /** Far more messages than the journal holds bytes for. */
-    private static final int MOST_MESSAGES = 60;
+    /** More than the highest limit of file descriptors, so the sender can't hold so many. */
+    private static final int MAX_OPEN_CLIENTS = 512;
+    /** Far more messages than fit into the journal's size limit. */
+    private static final int MAX_MESSAGES = 60;
 
     @TempDir
     private Path folder;
@@ -45,7 +45,7 @@
         discovery = new SwitchableDiscovery();
     }
 
-    /** The clients go first: the JDK kills a process only if it can open that process's entry in the file system. */
+    /** Closes the clients first: to kill a process, the JDK must be able to open its entry in the file system. */
     @AfterEach
     void close() throws Exception {
         for (Socket client : clients) {
@@ -63,40 +63,40 @@
         sender = new SenderProcess(folder, config).descriptors(limit).start();
     }
 
-    /** So many more clients come, ask one thing each, and keep their connections; some may be shut unread. */
-    private void crowd(int more) {
-        for (int i = 0; i < more; i++) {
+    /** Connects more clients, each of which sends a request and keeps its connection; some may be closed unread. */
+    private void connectClients(int count) {
+        for (int i = 0; i < count; i++) {
             try {
-                ask(sender.address(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-                dropClosedByTheSender();
+                exchange(sender.address(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+                dropClosedBySender();
             } catch (ConnectException e) {
-                throw new AssertionError("nobody listens", e);
-            } catch (SocketException shut) {
-                // Which a new client may be.
+                throw new AssertionError("the sender does not listen", e);
+            } catch (SocketException closed) {
+                // A new client may be closed unread.
             } catch (IOException e) {
-                throw new AssertionError("neither answered nor shut", e);
+                throw new AssertionError("neither answered nor closed", e);
             }
         }
     }
 
     /**
-     * Gives up the oldest connections beyond those that the sender can still hold. It must have closed them by
-     * itself; kept open on this side, they would use up the descriptors of the test.
+     * Closes the oldest connections beyond the number that the sender can hold. The sender must have closed them
+     * already; if they stayed open on this side, they would use up the file descriptors of the test.
      */
-    private void dropClosedByTheSender() throws IOException {
-        while (clients.size() > MOST_OPEN_CLIENTS) {
+    private void dropClosedBySender() throws IOException {
+        while (clients.size() > MAX_OPEN_CLIENTS) {
             try (Socket oldest = clients.removeFirst()) {
                 assertEquals(-1, oldest.getInputStream().read(), "not closed for newer clients");
             } catch (SocketException reset) {
-                // Closed over bytes that it had not read.
+                // The sender closed it with unread input.
             }
         }
     }
 
-    private StubServer.Message ask(InetSocketAddress where, String text) throws IOException {
-        Socket socket = new Socket(where.getAddress(), where.getPort());
+    private StubServer.Message exchange(InetSocketAddress address, String text) throws IOException {
+        Socket socket = new Socket(address.getAddress(), address.getPort());
         clients.add(socket);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(CLIENT_TIMEOUT_MS);
         StubServer.write(socket, text);
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
@@ -105,49 +105,51 @@
         return discovery.agent.requests.stream().mapToInt(StubServer.Message::connection).max().orElse(-1) + 1;
     }
 
-    private long journalFile() throws IOException {
+    private long journalInode() throws IOException {
         return (long) Files.getAttribute(sender.state().resolve("journal"), "unix:ino");
     }
 
-    /** Hands in a message and waits until it has arrived. */
+    /** Submits a message and waits until an endpoint has received it. */
     private void deliver(int number) throws Exception {
         int before = discovery.endpoint.requests.size();
-        StubServer.Message answer = ask(sender.address(), TestConfig.message("m" + number, "x".repeat(BODY_BYTES)));
+        StubServer.Message answer =
+                exchange(sender.address(), TestConfig.message("m" + number, "x".repeat(BODY_BYTES)));
         assertEquals("HTTP/1.1 202 Accepted", answer.line());
         StubServer.await("message " + number + " is delivered", () -> discovery.endpoint.requests.size() > before);
     }
 
     private void deliverUntilTheJournalIsCompacted() throws Exception {
-        long begun = journalFile();
-        for (int i = 0; i < MOST_MESSAGES; i++) {
+        long inodeAtStart = journalInode();
+        for (int i = 0; i < MAX_MESSAGES; i++) {
             deliver(i);
-            if (journalFile() != begun) {
+            if (journalInode() != inodeAtStart) {
                 return;
             }
         }
         throw new AssertionError("the journal was never compacted");
     }
 
-    /** The least limit that the platform grants, and one at which the JVM's own files nearly fill it. */
+    /** The lowest limit that the platform grants, and one that the JVM's own files almost use up. */
     @ParameterizedTest
     @ValueSource(ints = {256, 56})
-    void discoveryCallsTheJournalAndOperatorsStillGetTheirs(int limit) throws Exception {
+    void discoveryEndpointsJournalAndOperatorsStillGetDescriptors(int limit) throws Exception {
         start(limit);
-        StubServer.await("discovery is asked", () -> agentConnections() > 0);
+        StubServer.await("discovery is queried", () -> agentConnections() > 0);
         int connections = agentConnections();
-        crowd(2 * limit);
-        StubServer.await("silent discovery is asked on a new connection", () -> {
-            crowd(limit / 4);
+        connectClients(2 * limit);
+        StubServer.await("silent discovery is queried on a new connection", () -> {
+            connectClients(limit / 4);
             return agentConnections() > connections;
         });
         discovery.up = true;
-        StubServer.await("its list is read", () -> {
-            crowd(limit / 4);
+        StubServer.await("the list of discovery is read", () -> {
+            connectClients(limit / 4);
             return discovery.agent.requests.stream().anyMatch(r -> r.line().contains("after=1&"));
         });
-        crowd(limit);
+        connectClients(limit);
         deliverUntilTheJournalIsCompacted();
-        assertEquals("HTTP/1.1 200 OK", ask(sender.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").line());
+        assertEquals("HTTP/1.1 200 OK",
+                exchange(sender.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n").line());
         assertTrue(sender.isAlive());
         assertFalse(sender.log().contains("Too many open files"), sender.log());
     }
--- a/src/test/java/starlingvalve/net/ListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/ListenFaultTest.java
@@ -10,19 +10,19 @@
 import java.lang.reflect.Field;
 import org.junit.jupiter.api.Test;
 
-/** A process that owns the journal and can't make a listening socket. */
+/** A process that owns the journal but can't create a listening socket. */
 class ListenFaultTest extends SenderFixture {
-    private static final long END_MS = 10_000;
-    private static final long START_PATIENCE_MS = 1000;
+    private static final long SHUTDOWN_LIMIT_MS = 10_000;
+    private static final long START_RETRY_LIMIT_MS = 1000;
 
-    private static Field field(Class<?> of, String name) throws NoSuchFieldException {
-        Field field = of.getDeclaredField(name);
+    private static Field field(Class<?> type, String name) throws NoSuchFieldException {
+        Field field = type.getDeclaredField(name);
         field.setAccessible(true);
         return field;
     }
 
-    /** From the first list on there is no socket for the clients' address. */
-    private void makeNoSocket() {
+    /** Makes the creation of the listening socket for clients fail from the first endpoint list on. */
+    private void failListening() {
         beforeEvent = (event, arguments) -> {
             if (event.equals("endpoints")) {
                 try {
@@ -39,15 +39,15 @@
     }
 
     @Test
-    void aProcessThatCanNotListenEnds() throws Exception {
-        sender = new Sender(config(), 100, 500, 0, new StartRetry(START_PATIENCE_MS), this::interceptEvents);
-        makeNoSocket();
+    void processThatCannotListenEnds() throws Exception {
+        sender = new Sender(config(), 100, 500, 0, new StartRetry(START_RETRY_LIMIT_MS), this::interceptEvents);
+        failListening();
         assertThrows(IOException.class, sender::start);
-        // As the shutdown hook does.
+        // Calls drain as the shutdown hook does.
         Thread hook = new Thread(sender::drain);
         hook.setDaemon(true);
         hook.start();
-        hook.join(END_MS);
-        assertFalse(hook.isAlive(), "it hangs in its shutdown hook");
+        hook.join(SHUTDOWN_LIMIT_MS);
+        assertFalse(hook.isAlive(), "the shutdown hook hangs");
     }
 }
--- a/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
+++ b/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Takes on each message of class {@code order} that the client side hands it, and keeps what was handed in. */
+/** Accepts every submission of class {@code order}, and records its id and budget. */
 class RecordingSubmissionHandler implements SubmissionServer.SubmissionHandler {
     final List<String> ids = new ArrayList<>();
     final List<Long> budgets = new ArrayList<>();
@@ -30,9 +30,9 @@
     }
 
     @Override
-    public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> then) {
+    public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
         ids.add(submission.id());
         budgets.add(submission.budgetMs());
-        then.accept(SubmissionServer.Verdict.taken(heard -> { }));
+        callback.accept(SubmissionServer.Verdict.taken(mayBeReceived -> { }));
     }
 }
--- a/src/test/java/starlingvalve/net/StallMeter.java
+++ b/src/test/java/starlingvalve/net/StallMeter.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures how long this machine keeps a thread waiting that has something to do: a thread that sleeps again and again
- * notes how much later it woke than it asked to. What a test sees late by less may have happened in time.
+ * Measures for how long this machine delays runnable threads: a thread sleeps repeatedly and records how much later
+ * than requested it wakes up. An event that a test observes late by less than such a delay may have happened in time.
  */
 final class StallMeter implements AutoCloseable {
     private static final long SLEEP_MS = 5;
-    /** Shorter stalls are not kept. */
-    private static final long LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+    /** Shorter stalls are not recorded. */
+    private static final long MIN_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
     private record Stall(long from, long to) {
     }
@@ -30,12 +30,12 @@
                 long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SLEEP_MS);
                 Thread.sleep(SLEEP_MS);
                 long woke = System.nanoTime();
-                if (woke - due > LEAST_NANOS) {
+                if (woke - due > MIN_STALL_NANOS) {
                     add(new Stall(due, woke));
                 }
             }
         } catch (InterruptedException closed) {
-            // The play is over.
+            // Closed at the end of the test.
         }
     }
 
@@ -43,7 +43,7 @@
         stalls.add(stall);
     }
 
-    /** The time within a span in which the machine stood still. */
+    /** The total time of stalls within a time span, in nanoseconds. */
     synchronized long nanosWithin(long from, long to) {
         return stalls.stream().mapToLong(stall -> Math.max(0, Math.min(to, stall.to) - Math.max(from, stall.from)))
                 .sum();
--- a/src/test/java/starlingvalve/net/SubmissionServerPropertyTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerPropertyTest.java
@@ -22,15 +22,15 @@
 import net.jqwik.api.Tuple;
 
 /**
- * Whatever bytes come from a client, and in whatever pieces: a message is taken once at most, and only if it was a
- * whole, valid request of its own, before anything on its connection that was none.
+ * For any input of a client, split into any pieces: a message is accepted at most once, and only if it was a complete,
+ * valid request of its own, with no invalid or incomplete request before it on the connection.
  */
 class SubmissionServerPropertyTest {
-    private static final int TRIES = 500;
-    private static final int MOST_REQUESTS = 4;
-    private static final int LONGEST_BODY = 64 * 1024;
-    /** By then each connection that waits for more of a request is closed. */
-    private static final long ALL_OVER_MS = 3000;
+    private static final int RUNS = 500;
+    private static final int MAX_REQUESTS = 4;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** After this time each connection that waits for the rest of a request is closed. */
+    private static final long AFTER_TIMEOUTS_MS = 3000;
     private static final String LINE_END = "\r\n";
 
     /** What a client sends as one request. */
@@ -41,23 +41,23 @@
         CHUNKED(true),
         /** A valid request whose body is the text of another request. */
         REQUEST_IN_BODY(true),
-        /** Both Content-Length and Transfer-Encoding: which of them holds is open. */
+        /** Both Content-Length and Transfer-Encoding, so the framing is ambiguous. */
         LENGTH_AND_CHUNKED(false),
-        /** Two lengths that differ. */
+        /** Two different values of Content-Length. */
         TWO_LENGTHS(false),
-        /** A length that is no number. */
+        /** A Content-Length that is not a decimal number. */
         BAD_LENGTH(false),
-        /** A chunk size that is none. */
+        /** A chunk size that is not a number. */
         BAD_CHUNK(false),
-        /** A transfer encoding that nobody knows. */
+        /** An unknown transfer encoding. */
         UNKNOWN_ENCODING(false),
-        /** A body over the bound, with the text of another request at its end. */
+        /** A body over the size limit, with the text of another request at its end. */
         TOO_LONG(false),
-        /** A first line that is none. */
+        /** An invalid request line. */
         BAD_FIRST_LINE(false),
-        /** A header line that is none. */
+        /** An invalid header line. */
         BAD_HEADER(false),
-        /** Bytes that are no request. */
+        /** Bytes that are not a request. */
         STRAY(false);
 
         private final boolean valid;
@@ -67,45 +67,51 @@
         }
     }
 
-    /** What a client sends; {@code last} permille of the bytes of the last request are sent. */
-    private record Script(List<Form> forms, int last, List<Integer> cuts) {
+    /**
+     * The input of a client.
+     *
+     * @param sentPermille how much of the last request is sent
+     * @param splits where the input is split into pieces, in permille of its length
+     */
+    private record Script(List<Form> forms, int sentPermille, List<Integer> splits) {
     }
 
-    private final RecordingSubmissionHandler desk = new RecordingSubmissionHandler();
+    private final RecordingSubmissionHandler handler = new RecordingSubmissionHandler();
 
-    @Property(seed = "20261202", tries = TRIES, edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.BOUNDED)
-    void onlyWholeRequestsOfTheirOwnAreTakenAndOnce(@ForAll("scripts") Script script) {
-        desk.ids.clear();
+    @Property(seed = "20261202", tries = RUNS, edgeCases = EdgeCasesMode.NONE, shrinking = ShrinkingMode.BOUNDED)
+    void onlyCompleteRequestsAreAcceptedAndOnlyOnce(@ForAll("scripts") Script script) {
+        handler.ids.clear();
         ByteArrayOutputStream sent = new ByteArrayOutputStream();
-        List<String> mayBeTaken = new ArrayList<>();
+        List<String> expected = new ArrayList<>();
         boolean valid = true;
         for (int number = 0; number < script.forms().size(); number++) {
             Form form = script.forms().get(number);
             byte[] bytes = request(form, "id-" + number);
-            boolean whole = number < script.forms().size() - 1 || script.last() == 1000;
-            sent.write(bytes, 0, whole ? bytes.length : bytes.length * script.last() / 1000);
-            valid &= form.valid && whole;
+            boolean complete = number < script.forms().size() - 1 || script.sentPermille() == 1000;
+            sent.write(bytes, 0, complete ? bytes.length : bytes.length * script.sentPermille() / 1000);
+            valid &= form.valid && complete;
             if (valid) {
-                mayBeTaken.add("id-" + number);
+                expected.add("id-" + number);
             }
         }
-        send(sent.toByteArray(), script.cuts());
-        assertEquals(mayBeTaken, desk.ids);
+        send(sent.toByteArray(), script.splits());
+        assertEquals(expected, handler.ids);
     }
 
-    private void send(byte[] bytes, List<Integer> cuts) {
+    private void send(byte[] bytes, List<Integer> splits) {
         EmbeddedChannel client = new EmbeddedChannel();
         client.freezeTime();
-        client.pipeline().addLast(new SubmissionServer(new DefaultEventLoop(), 10, desk).pipeline());
+        client.pipeline().addLast(new SubmissionServer(new DefaultEventLoop(), 10, handler).pipeline());
         client.pipeline().fireChannelActive();
-        int[] places = cuts.stream().mapToInt(cut -> (int) ((long) bytes.length * cut / 1000)).sorted().toArray();
+        int[] offsets = splits.stream().mapToInt(split -> (int) ((long) bytes.length * split / 1000)).sorted()
+                .toArray();
         int from = 0;
-        for (int place = 0; place <= places.length && client.isOpen(); place++) {
-            int to = place < places.length ? places[place] : bytes.length;
+        for (int piece = 0; piece <= offsets.length && client.isOpen(); piece++) {
+            int to = piece < offsets.length ? offsets[piece] : bytes.length;
             client.writeInbound(Unpooled.wrappedBuffer(Arrays.copyOfRange(bytes, from, to)));
             from = to;
         }
-        client.advanceTimeBy(ALL_OVER_MS, TimeUnit.MILLISECONDS);
+        client.advanceTimeBy(AFTER_TIMEOUTS_MS, TimeUnit.MILLISECONDS);
         client.runPendingTasks();
         client.finishAndReleaseAll();
     }
@@ -122,8 +128,8 @@
             case BAD_LENGTH -> plain(id, "Content-Length: 0x0", hidden);
             case BAD_CHUNK -> plain(id, "Transfer-Encoding: chunked", "zz\r\nhello\r\n0\r\n\r\n" + hidden);
             case UNKNOWN_ENCODING -> plain(id, "Transfer-Encoding: folded", hidden);
-            case TOO_LONG -> plain(id, "Content-Length: " + (LONGEST_BODY + 1 + hidden.length()),
-                    "x".repeat(LONGEST_BODY + 1) + hidden);
+            case TOO_LONG -> plain(id, "Content-Length: " + (MAX_BODY_BYTES + 1 + hidden.length()),
+                    "x".repeat(MAX_BODY_BYTES + 1) + hidden);
             case BAD_FIRST_LINE -> plain(id, "Content-Length: 0", "").replace("HTTP/1.1", "HTP/1.1");
             case BAD_HEADER -> plain(id, "no colon here\r\nContent-Length: 0", "");
             case STRAY -> "stray bytes of nobody" + LINE_END + LINE_END;
@@ -140,9 +146,10 @@
     Arbitrary<Script> scripts() {
         Arbitrary<Form> forms = Arbitraries.frequencyOf(Tuple.of(1, Arbitraries.of(Form.class)),
                 Tuple.of(1, Arbitraries.of(Form.VALID, Form.CHUNKED, Form.REQUEST_IN_BODY)));
-        Arbitrary<Integer> lasts = Arbitraries.frequencyOf(Tuple.of(3, Arbitraries.just(1000)),
+        Arbitrary<Integer> sentPermilles = Arbitraries.frequencyOf(Tuple.of(3, Arbitraries.just(1000)),
                 Tuple.of(1, Arbitraries.integers().between(0, 990)));
-        Arbitrary<List<Integer>> cuts = Arbitraries.integers().between(0, 1000).list().ofMaxSize(6);
-        return Combinators.combine(forms.list().ofMinSize(1).ofMaxSize(MOST_REQUESTS), lasts, cuts).as(Script::new);
+        Arbitrary<List<Integer>> splits = Arbitraries.integers().between(0, 1000).list().ofMaxSize(6);
+        return Combinators.combine(forms.list().ofMinSize(1).ofMaxSize(MAX_REQUESTS), sentPermilles, splits)
+                .as(Script::new);
     }
 }
--- a/src/test/java/starlingvalve/net/SubmissionServerTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -26,12 +26,12 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The client side by itself, on a clock that the test moves. */
+/** Tests {@link SubmissionServer} alone, mostly with embedded channels whose clock the test advances. */
 class SubmissionServerTest {
-    private final RecordingSubmissionHandler desk = new RecordingSubmissionHandler();
+    private final RecordingSubmissionHandler handler = new RecordingSubmissionHandler();
 
     private EmbeddedChannel client() {
-        return client(new SubmissionServer(new DefaultEventLoop(), 10, desk));
+        return client(new SubmissionServer(new DefaultEventLoop(), 10, handler));
     }
 
     private static EmbeddedChannel client(SubmissionServer server) {
@@ -46,7 +46,7 @@
         client.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    private static void pass(EmbeddedChannel client, long ms) {
+    private static void advanceTime(EmbeddedChannel client, long ms) {
         client.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
         client.runPendingTasks();
     }
@@ -57,141 +57,141 @@
     }
 
     @Test
-    void aClientThatSendsNothingIsClosedInTime() {
+    void connectionWithoutInputIsClosedAtRequestTimeout() {
         EmbeddedChannel silent = client();
-        pass(silent, 1900);
+        advanceTime(silent, 1900);
         assertTrue(silent.isOpen());
-        pass(silent, 200);
+        advanceTime(silent, 200);
         assertFalse(silent.isOpen());
     }
 
     @Test
-    void aRequestThatNeverBecomesWholeIsClosedInTimeHoweverOftenBytesCome() {
+    void incompleteRequestIsClosedAtRequestTimeoutDespiteFurtherBytes() {
         EmbeddedChannel slow = client();
         for (char c : (request("slow", 10) + "five").substring(0, 20).toCharArray()) {
             assertTrue(slow.isOpen());
             send(slow, String.valueOf(c));
-            pass(slow, 100);
+            advanceTime(slow, 100);
         }
         assertFalse(slow.isOpen());
         EmbeddedChannel half = client();
         send(half, request("half", 10) + "five");
-        pass(half, 2100);
+        advanceTime(half, 2100);
         assertFalse(half.isOpen());
-        assertEquals(List.of(), desk.ids);
+        assertEquals(List.of(), handler.ids);
     }
 
     @Test
-    void eachLaterRequestHasADeadlineFromItsFirstByteOn() {
-        EmbeddedChannel kept = client();
+    void requestTimeoutOfLaterRequestsStartsAtTheirFirstByte() {
+        EmbeddedChannel keptAlive = client();
         for (int i = 0; i < 3; i++) {
-            send(kept, request("id-" + i, 0));
-            pass(kept, 5000);
-            assertTrue(kept.isOpen(), "no request is open");
+            send(keptAlive, request("id-" + i, 0));
+            advanceTime(keptAlive, 5000);
+            assertTrue(keptAlive.isOpen(), "closed without a pending request");
         }
-        send(kept, request("half", 10));
-        pass(kept, 1900);
-        assertTrue(kept.isOpen());
-        pass(kept, 200);
-        assertFalse(kept.isOpen());
-        assertEquals(List.of("id-0", "id-1", "id-2"), desk.ids);
+        send(keptAlive, request("half", 10));
+        advanceTime(keptAlive, 1900);
+        assertTrue(keptAlive.isOpen());
+        advanceTime(keptAlive, 200);
+        assertFalse(keptAlive.isOpen());
+        assertEquals(List.of("id-0", "id-1", "id-2"), handler.ids);
     }
 
-    /** A request may have lain unread until its client's 400 ms were nearly over. */
+    /** A request may have been unread for almost the 400 ms for which its client waits. */
     @Test
-    void aMessageEndsInTimeEvenIfItsClientHadNearlyLeftWhenItWasRead() {
+    void budgetIsReducedByClientTimeout() {
         send(client(), request("long", 0));
         send(client(), request("short", 0).replace("Budget-Ms: 900", "Budget-Ms: 80"));
-        assertEquals(List.of("long", "short"), desk.ids);
-        assertTrue(desk.budgets.get(0) + 400 <= 900, "ended late: " + desk.budgets.get(0));
-        assertEquals(1, desk.budgets.get(1), "it is taken, and ended at once");
+        assertEquals(List.of("long", "short"), handler.ids);
+        assertTrue(handler.budgets.get(0) + 400 <= 900, "ended late: " + handler.budgets.get(0));
+        assertEquals(1, handler.budgets.get(1), "accepted with the least budget");
     }
 
-    /** Half a request. */
-    private static void begin(EmbeddedChannel client) {
+    /** Sends the headers and half of the body. */
+    private static void sendHalfRequest(EmbeddedChannel client) {
         send(client, request("half", 10) + "five");
     }
 
     @Test
-    void ifAllAreBusyTheNewOneIsClosedAndNoneElse() {
-        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 3, desk);
+    void newConnectionIsClosedIfNoneIsIdle() {
+        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 3, handler);
         List<EmbeddedChannel> busy = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             busy.add(client(server));
-            begin(busy.get(i));
+            sendHalfRequest(busy.get(i));
         }
-        EmbeddedChannel more = client(server);
-        assertFalse(more.isOpen());
-        more.checkException();
+        EmbeddedChannel newest = client(server);
+        assertFalse(newest.isOpen());
+        newest.checkException();
         busy.forEach(client -> assertTrue(client.isOpen()));
-        more.runPendingTasks();
+        newest.runPendingTasks();
         assertEquals(3, server.clients());
     }
 
     @Test
-    void theLongestIdleMakesRoom() {
-        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 3, desk);
+    void longestIdleConnectionIsClosedForNewOne() {
+        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 3, handler);
         EmbeddedChannel busy = client(server);
-        begin(busy);
+        sendHalfRequest(busy);
         EmbeddedChannel first = client(server);
         EmbeddedChannel second = client(server);
         send(first, request("one", 0));
-        EmbeddedChannel more = client(server);
-        assertFalse(second.isOpen(), "the other idled since its request, which came later");
-        assertTrue(busy.isOpen() && first.isOpen() && more.isOpen());
+        EmbeddedChannel newest = client(server);
+        assertFalse(second.isOpen(), "the first client has been idle only since its request");
+        assertTrue(busy.isOpen() && first.isOpen() && newest.isOpen());
     }
 
     @Test
-    void oneThatWentWhileItsVerdictWasOutIsNotCountedOnToMakeRoom() {
-        LateDesk late = new LateDesk();
-        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 1, late);
+    void connectionClosedBeforeItsVerdictIsNotKeptAsIdle() {
+        DelayedVerdictHandler delayed = new DelayedVerdictHandler();
+        SubmissionServer server = new SubmissionServer(new DefaultEventLoop(), 1, delayed);
         EmbeddedChannel gone = client(server);
         send(gone, request("one", 0));
         gone.close();
         gone.runPendingTasks();
-        late.out.get(0).accept(SubmissionServer.Verdict.refused("late"));
+        delayed.callbacks.get(0).accept(SubmissionServer.Verdict.refused("late"));
         EmbeddedChannel idle = client(server);
-        EmbeddedChannel more = client(server);
+        EmbeddedChannel newest = client(server);
         assertFalse(idle.isOpen());
-        assertTrue(more.isOpen());
+        assertTrue(newest.isOpen());
     }
 
-    /** Takes its time. */
-    private static final class LateDesk extends RecordingSubmissionHandler {
-        final List<Consumer<SubmissionServer.Verdict>> out = new ArrayList<>();
+    /** Keeps the callbacks, so that a test can pass verdicts later. */
+    private static final class DelayedVerdictHandler extends RecordingSubmissionHandler {
+        final List<Consumer<SubmissionServer.Verdict>> callbacks = new ArrayList<>();
 
         @Override
-        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> then) {
-            out.add(then);
+        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+            callbacks.add(callback);
         }
     }
 
     @Test
-    void aConnectionWhoseRequestIsUnansweredIsNotClosedForIdleness() {
-        LateDesk late = new LateDesk();
-        EmbeddedChannel client = client(new SubmissionServer(new DefaultEventLoop(), 1, late));
+    void connectionWithUnansweredRequestIsNotClosedAsIdle() {
+        DelayedVerdictHandler delayed = new DelayedVerdictHandler();
+        EmbeddedChannel client = client(new SubmissionServer(new DefaultEventLoop(), 1, delayed));
         send(client, request("one", 0));
         for (int i = 0; i < 3; i++) {
-            pass(client, 10_100);
-            assertTrue(client.isOpen(), "closed with no answer");
+            advanceTime(client, 10_100);
+            assertTrue(client.isOpen(), "closed without an answer");
         }
-        late.out.forEach(verdict -> verdict.accept(SubmissionServer.Verdict.refused("not now")));
+        delayed.callbacks.forEach(callback -> callback.accept(SubmissionServer.Verdict.refused("not now")));
         client.runPendingTasks();
         assertTrue(client.<ByteBuf>readOutbound().toString(StandardCharsets.ISO_8859_1).startsWith("HTTP/1.1 503 "));
-        pass(client, 10_100);
-        assertFalse(client.isOpen(), "it is idle now");
+        advanceTime(client, 10_100);
+        assertFalse(client.isOpen(), "not closed though idle");
     }
 
-    /** The loop is held while more connect than there is room for; then all that wait are accepted at once. */
+    /** The event loop is blocked while more clients connect than are allowed; then all are accepted at once. */
     @Test
-    void whatWaitsAtACloseIsAcceptedAsFarAsThereIsRoomAndTheRestClosedUnread() throws Exception {
-        int most = 4;
+    void closeAcceptsBacklogUpToLimitAndClosesTheRestUnread() throws Exception {
+        int maxClients = 4;
         int waiting = 100;
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         List<Socket> sockets = new ArrayList<>();
         try {
-            SubmissionServer server = new SubmissionServer(loop, most, desk);
+            SubmissionServer server = new SubmissionServer(loop, maxClients, handler);
             server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
             InetSocketAddress address = server.address();
             CountDownLatch connected = new CountDownLatch(1);
@@ -199,7 +199,7 @@
             loop.submit(() -> {
                 connected.await();
                 server.close();
-                // Right behind the accepting, and before the ends of those that made room.
+                // Runs right after the accepts, before channelInactive of the connections closed for newer ones.
                 loop.execute(() -> accepted.complete(server.clients()));
                 return null;
             });
@@ -207,14 +207,14 @@
                 sockets.add(new Socket(address.getAddress(), address.getPort()));
             }
             connected.countDown();
-            assertTrue(accepted.get() > 0, "there was room for some");
-            assertTrue(accepted.get() <= most + DescriptorBudget.ACCEPT_BURST, "at once: " + accepted.get());
-            StubServer.await("nobody listens any more", () -> connect(address).isEmpty());
-            // Behind the ends of those that made room, which are told in a turn of their own.
+            assertTrue(accepted.get() > 0, "no connection was admitted");
+            assertTrue(accepted.get() <= maxClients + DescriptorBudget.ACCEPT_BURST, "accepted at once: " + accepted.get());
+            StubServer.await("the listener is closed", () -> connect(address).isEmpty());
+            // Runs after channelInactive of the closed connections, which is called in a task of its own.
             loop.submit(() -> { }).get();
             int open = loop.submit(server::clients).get();
-            assertTrue(open <= most, "after the turn: " + open);
-            assertTrue(open > 0, "there was room for some");
+            assertTrue(open <= maxClients, "open afterwards: " + open);
+            assertTrue(open > 0, "no connection was admitted");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -223,36 +223,36 @@
         }
     }
 
-    /** A close that takes effect later resets what connects until then. */
+    /** If the close of the listener took effect late, clients that connect until then would be reset. */
     @Test
-    void aConnectionThatComesUpWhileTheListenerClosesIsAnsweredOrRefused() throws Exception {
-        for (Consumer<SubmissionServer> end : List.<Consumer<SubmissionServer>>of(SubmissionServer::close,
+    void connectionDuringListenerCloseIsAnsweredOrRefused() throws Exception {
+        for (Consumer<SubmissionServer> stop : List.<Consumer<SubmissionServer>>of(SubmissionServer::close,
                 SubmissionServer::closeForSuccessor, SubmissionServer::stopListening)) {
             EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
             EventLoop loop = group.next();
             try {
-                SubmissionServer server = new SubmissionServer(loop, 10, desk);
+                SubmissionServer server = new SubmissionServer(loop, 10, handler);
                 server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly();
                 InetSocketAddress address = server.address();
-                Optional<Socket> crossing = loop.submit(() -> {
-                    end.accept(server);
+                Optional<Socket> concurrentClient = loop.submit(() -> {
+                    stop.accept(server);
                     return connect(address);
                 }).get();
-                if (crossing.isPresent()) {
-                    try (Socket client = crossing.get()) {
+                if (concurrentClient.isPresent()) {
+                    try (Socket client = concurrentClient.get()) {
                         StubServer.Message answer =
                                 SenderFixture.exchange(client, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
                         assertEquals("HTTP/1.1 200 OK", answer.line());
                     }
                 }
-                StubServer.await("nobody listens any more", () -> connect(address).isEmpty());
+                StubServer.await("the listener is closed", () -> connect(address).isEmpty());
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
             }
         }
     }
 
-    /** Nothing if it is refused. */
+    /** Connects to an address; empty if the connection is refused. */
     private static Optional<Socket> connect(InetSocketAddress address) {
         try {
             return Optional.of(new Socket(address.getAddress(), address.getPort()));
