--- a/src/test/java/starlingvalve/net/SubmissionServerTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -107,7 +107,7 @@
         assertEquals(1, handler.budgets.get(1), "accepted with the least budget");
     }
 
-    /** Sends the headers and half of the body. */
+    /** Sends an incomplete request. */
     private static void sendHalfRequest(EmbeddedChannel client) {
         send(client, request("half", 10) + "five");
     }
@@ -208,7 +208,8 @@
             }
             connected.countDown();
             assertTrue(accepted.get() > 0, "no connection was admitted");
-            assertTrue(accepted.get() <= maxClients + DescriptorBudget.ACCEPT_BURST, "accepted at once: " + accepted.get());
+            assertTrue(accepted.get() <= maxClients + DescriptorBudget.ACCEPT_BURST,
+                    "accepted at once: " + accepted.get());
             StubServer.await("the listener is closed", () -> connect(address).isEmpty());
             // Runs after channelInactive of the closed connections, which is called in a task of its own.
             loop.submit(() -> { }).get();
