--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -410,10 +410,10 @@
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         /** The last answer of this connection is written; further input is ignored. */
         private boolean lastResponseSent;
-        /** The handler was notified of the close. */
+        /** The submission handler was notified of the close. */
         private boolean closeReported;
 
-        /** Notifies the handler, once, why this connection is closed. */
+        /** Notifies the submission handler, once, why this connection is closed. */
         private void reportClose(Channel client, CloseReason reason, String cause) {
             if (!closeReported && !lastResponseSent) {
                 closeReported = true;
