--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -47,13 +47,13 @@
     private final Map<Long, AcceptedMessage> live = new TreeMap<>();
     private final FinishedMessages finished;
     private long liveBytes;
-    private long numbers;
+    private long firstUnusedNumber;
     /** What the operators have ordered, which a later life keeps to. */
     private boolean drained;
-    private final Set<String> maintained = new LinkedHashSet<>();
+    private final Set<String> inMaintenance = new LinkedHashSet<>();
     private final WithdrawnEndpoints withdrawn;
     private long headerBytes;
-    private Runnable whenBehind = () -> { };
+    private Runnable onWriteDeferred = () -> { };
     /** Another process may write the file. */
     private boolean paused;
     /** Another process has written the file, or may have: nothing may be appended to it before it is replaced. */
@@ -93,7 +93,7 @@
     /** A torn tail would hide all that is appended behind it. */
     private void readFile() throws IOException {
         try {
-            file.endsAt(replay(file.read()));
+            file.truncateTo(replay(file.read()));
         } catch (IOException e) {
             file.close();
             throw e;
@@ -112,12 +112,12 @@
 
     /** A number for the next message, above all that were used. */
     long nextNumber() {
-        return numbers++;
+        return firstUnusedNumber++;
     }
 
     /** Takes a message on, or throws: then it must be refused. */
-    void taken(AcceptedMessage held) throws IOException {
-        byte[] record = JournalRecord.taken(held);
+    void accepted(AcceptedMessage held) throws IOException {
+        byte[] record = JournalRecord.accepted(held);
         long reserved = headerBytes + bound / FINISHED_SHARE + bound / WITHDRAWN_SHARE;
         long needed = reserved + liveBytes + record.length + messageRoom * (live.size() + 1L);
         if (2 * needed > bound) {
@@ -221,19 +221,19 @@
     }
 
     /** An endpoint is left out from now on, or put back. */
-    void maintained(String endpoint, boolean out) throws IOException {
-        append(JournalRecord.maintained(endpoint, out));
+    void inMaintenance(String endpoint, boolean out) throws IOException {
+        append(JournalRecord.inMaintenance(endpoint, out));
         if (out) {
-            maintained.add(endpoint);
+            inMaintenance.add(endpoint);
         } else {
-            maintained.remove(endpoint);
+            inMaintenance.remove(endpoint);
         }
         header();
     }
 
     /** Endpoints that operators have left out. */
-    Set<String> maintained() {
-        return Set.copyOf(maintained);
+    Set<String> inMaintenance() {
+        return Set.copyOf(inMaintenance);
     }
 
     /**
@@ -258,24 +258,24 @@
         if (drained) {
             bytes.writeBytes(JournalRecord.drained(true));
         }
-        for (String endpoint : maintained) {
-            bytes.writeBytes(JournalRecord.maintained(endpoint, true));
+        for (String endpoint : inMaintenance) {
+            bytes.writeBytes(JournalRecord.inMaintenance(endpoint, true));
         }
         headerBytes = bytes.size();
         return bytes.toByteArray();
     }
 
     /** Called each time that something which has happened is not in the file, as the disk did not take it. */
-    void whenBehind(Runnable task) {
-        whenBehind = task;
+    void onWriteDeferred(Runnable task) {
+        onWriteDeferred = task;
     }
 
     /** Tries to write what the disk did not take; whether all is in the file now. */
-    boolean catchUp() {
+    boolean writeDeferred() {
         try {
             prepareToWrite();
             makeRoom(0);
-            file.catchUp();
+            file.writeDeferred();
             return true;
         } catch (IOException e) {
             return false;
@@ -283,7 +283,7 @@
     }
 
     /** Whether something that has happened is not in the file, as the disk did not take it. */
-    boolean isBehind() {
+    boolean hasDeferredRecords() {
         return file.unwrittenBytes() > 0;
     }
 
@@ -292,7 +292,7 @@
      * records that the disk has not taken, which that process has to know.
      */
     byte[] pause() {
-        catchUp();
+        writeDeferred();
         paused = true;
         close();
         return file.unwritten();
@@ -305,13 +305,13 @@
     }
 
     /** All numbers below this one are used. */
-    long numbers() {
-        return numbers;
+    long firstUnusedNumber() {
+        return firstUnusedNumber;
     }
 
     /** Numbers below this one are used, whether the file still knows of them or not. */
-    void reserve(long used) {
-        numbers = Math.max(numbers, used);
+    void reserveNumbersBelow(long used) {
+        firstUnusedNumber = Math.max(firstUnusedNumber, used);
     }
 
     /** Bytes of the file now. */
@@ -356,7 +356,7 @@
             append(record);
         } catch (IOException e) {
             file.defer(record, e);
-            whenBehind.run();
+            onWriteDeferred.run();
         }
     }
 
@@ -388,7 +388,7 @@
             bytes.write(JournalRecord.withdrawn(endpoint, true));
         }
         for (AcceptedMessage held : live.values()) {
-            bytes.write(JournalRecord.taken(held));
+            bytes.write(JournalRecord.accepted(held));
             for (AcceptedMessage.Attempt attempt : held.attempts.subList(0, held.recorded)) {
                 bytes.write(JournalRecord.attempt(held, attempt, !attempt.neverRan));
             }
@@ -449,7 +449,7 @@
             applyOrder(type, in);
             return;
         }
-        numbers = Math.max(numbers, number + 1);
+        firstUnusedNumber = Math.max(firstUnusedNumber, number + 1);
         if (type == JournalRecord.TAKEN) {
             String id = in.readUTF();
             String messageClass = in.readUTF();
@@ -519,9 +519,9 @@
         }
         String endpoint = in.readUTF();
         if (in.readBoolean()) {
-            maintained.add(endpoint);
+            inMaintenance.add(endpoint);
         } else {
-            maintained.remove(endpoint);
+            inMaintenance.remove(endpoint);
         }
     }
 
--- a/src/main/java/starlingvalve/net/JournalFile.java
+++ b/src/main/java/starlingvalve/net/JournalFile.java
@@ -77,7 +77,7 @@
     }
 
     /** The file ends here: whatever is behind belongs to a record that was not written whole. */
-    void endsAt(long length) {
+    void truncateTo(long length) {
         size = length;
         cutTail();
     }
@@ -94,7 +94,7 @@
 
     /** Writes what is about to happen, behind all that has; throws if it could not, and then none of it counts. */
     void append(byte[] bytes) throws IOException {
-        catchUp();
+        writeDeferred();
         write(bytes);
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Writes what could not be written before; throws if some of it still can't. */
-    void catchUp() throws IOException {
+    void writeDeferred() throws IOException {
         if (tornTail) {
             disk.truncate(channel, size);
             tornTail = false;
--- a/src/main/java/starlingvalve/net/JournalRecord.java
+++ b/src/main/java/starlingvalve/net/JournalRecord.java
@@ -45,7 +45,7 @@
         return crc.getValue();
     }
 
-    static byte[] taken(AcceptedMessage held) {
+    static byte[] accepted(AcceptedMessage held) {
         return record(TAKEN, held.number, out -> {
             out.writeUTF(held.id);
             out.writeUTF(held.messageClass);
@@ -95,7 +95,7 @@
 
     static byte[] clock(SteadyClock.Base base) {
         return record(CLOCK, 0, out -> {
-            out.writeUTF(base.boot());
+            out.writeUTF(base.bootId());
             out.writeLong(base.monotonicMs());
             out.writeLong(base.steadyMs());
         });
@@ -105,7 +105,7 @@
         return record(DRAINED, 0, out -> out.writeBoolean(on));
     }
 
-    static byte[] maintained(String endpoint, boolean on) {
+    static byte[] inMaintenance(String endpoint, boolean on) {
         return endpointMark(MAINTAINED, endpoint, on);
     }
 
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -256,17 +256,17 @@
                 unwrittenRecords(state));
         watchdog = new DeadlineWatchdog(loop, journal.clock()::nowMs, this::messageOverdue);
         rules = new MessageRules(journal.clock()::nowMs, this::repeats, events);
-        journal.whenBehind(this::scheduleJournalRetry);
+        journal.onWriteDeferred(this::scheduleJournalRetry);
         scheduleJournalRetry();
         Optional<DeliveryPolicy.Snapshot> snapshot = state.flatMap(this::readSnapshot);
         if (snapshot.isPresent()) {
             state.get().path("endpoints").forEach(id -> registry.number(id.asText()));
-            journal.reserve(state.get().path("numbers").asLong());
+            journal.reserveNumbersBelow(state.get().path("numbers").asLong());
         }
         state.ifPresent(node -> discovery.inherit(node.path("list")));
         discovery.withdraw(journal.withdrawn());
         intake.drain(journal.drained());
-        for (String endpoint : journal.maintained()) {
+        for (String endpoint : journal.inMaintenance()) {
             policy.maintenance(openTurn(), registry.number(endpoint), true);
         }
         ownsJournal = true;
@@ -302,7 +302,7 @@
         journalRetryScheduled = true;
         loop.schedule(() -> {
             journalRetryScheduled = false;
-            if (!frozen && !journal.catchUp()) {
+            if (!frozen && !journal.writeDeferred()) {
                 scheduleJournalRetry();
             }
         }, JOURNAL_RETRY_MS, TimeUnit.MILLISECONDS);
@@ -970,7 +970,7 @@
                 return SubmissionServer.Verdict.refused(reply.path("reason").asText("not now"),
                         reply.path("waitMs").asDouble());
             }
-            return SubmissionServer.Verdict.taken(acknowledged -> handover.tell(HandoverConnection.line("answered")
+            return SubmissionServer.Verdict.accepted(acknowledged -> handover.tell(HandoverConnection.line("answered")
                     .put("message", reply.path("message").asLong()).put("heard", acknowledged), () -> { }));
         }
     }
@@ -1015,7 +1015,7 @@
             return rejection(submission, "not now", FAULT_RETRY_AFTER_MS);
         }
         try {
-            journal.taken(accepted);
+            journal.accepted(accepted);
         } catch (IOException e) {
             events.add("not-journalled", "id", submission.id(), "cause", String.valueOf(e.getMessage()));
             return rejection(submission, "no room", 0);
@@ -1038,7 +1038,7 @@
      */
     private SubmissionServer.Verdict acceptance(AcceptedMessage accepted) {
         accepted.answers();
-        return SubmissionServer.Verdict.taken(written -> {
+        return SubmissionServer.Verdict.accepted(written -> {
             AcceptedMessage.Acknowledgement acknowledgement = accepted.answered(written);
             if (acknowledgement != AcceptedMessage.Acknowledgement.OPEN) {
                 submissionAnswered(accepted, acknowledgement == AcceptedMessage.Acknowledgement.HEARD);
@@ -1092,7 +1092,7 @@
                 return;
             }
             OptionalLong number = registry.knownNumber(endpoint);
-            boolean wasInMaintenance = journal.maintained().contains(endpoint);
+            boolean wasInMaintenance = journal.inMaintenance().contains(endpoint);
             if (!wasInMaintenance && !(number.isPresent() && registry.isListed(number.getAsLong()))) {
                 callback.accept(OperatorServer.Answer.no(HttpResponseStatus.NOT_FOUND, "no endpoint " + endpoint));
                 return;
@@ -1101,7 +1101,7 @@
                     "endpoint " + endpoint + (inMaintenance ? " is left out" : " is put back") + " by the operators",
                     () -> {
                         if (wasInMaintenance != inMaintenance) {
-                            journal.maintained(endpoint, inMaintenance);
+                            journal.inMaintenance(endpoint, inMaintenance);
                             policy.maintenance(openTurn(), number.getAsLong(), inMaintenance);
                         }
                     });
@@ -1163,7 +1163,7 @@
         @Override
         public boolean mayLeave() {
             // Journal records that are not on disk would not reach the successor.
-            return ready && listening && !shuttingDown && !takeover.hasPartner() && journal.catchUp();
+            return ready && listening && !shuttingDown && !takeover.hasPartner() && journal.writeDeferred();
         }
 
         @Override
@@ -1192,7 +1192,7 @@
         private Optional<ObjectNode> handoverState() {
             try {
                 ObjectNode state = HandoverConnection.line("state").put("at", journal.clock().nowMs())
-                        .put("numbers", journal.numbers());
+                        .put("numbers", journal.firstUnusedNumber());
                 state.set("classes", HandoverConnection.JSON.valueToTree(config.classes()));
                 ArrayNode endpointIds = state.putArray("endpoints");
                 registry.ids().forEach(endpointIds::add);
@@ -1417,13 +1417,13 @@
                         HandoverConnection.JSON.treeToValue(line.path("submission"), SubmissionServer.Submission.class);
                 SubmissionServer.Verdict verdict = admit(submission);
                 ObjectNode reply = HandoverConnection.line("reply").put("n", line.path("n").asLong())
-                        .put("taken", verdict.taken());
+                        .put("taken", verdict.accepted());
                 Optional<AcceptedMessage> accepted = openMessages.find(submission.id());
-                if (verdict.taken() && accepted.isPresent()) {
+                if (verdict.accepted() && accepted.isPresent()) {
                     long number = accepted.get().number;
                     unansweredSubmissions.computeIfAbsent(number, message -> new ArrayDeque<>()).add(verdict);
                     takeover.tell(reply.put("message", number));
-                } else if (verdict.taken()) {
+                } else if (verdict.accepted()) {
                     // The message has run already, so it does not matter whether its client receives this answer.
                     takeover.tell(reply.put("message", NO_MESSAGE));
                 } else {
@@ -1508,7 +1508,7 @@
     /** Finishes the shutdown once nothing is in flight or the time limit has passed. */
     private void awaitIdle(long startedNanos) {
         boolean idle = handover.left() ? callsInFlight.isEmpty() && handover.unanswered() == 0 && intake.hasEnded()
-                : openMessages.isEmpty() && notices.owed() == 0 && intake.hasEnded() && !journal.isBehind();
+                : openMessages.isEmpty() && notices.owed() == 0 && intake.hasEnded() && !journal.hasDeferredRecords();
         if (idle) {
             finishShutdown();
         } else if (System.nanoTime() - startedNanos >= TimeUnit.MILLISECONDS.toNanos(shutdownLimitMs)) {
@@ -1522,7 +1522,7 @@
     private void finishShutdown() {
         intake.readNoMore();
         if (ownsJournal && !handover.left()) {
-            journal.catchUp();
+            journal.writeDeferred();
         }
         events.flush();
         Log.line(config.name() + " ends; its journal holds " + openMessages.size() + " messages and "
--- a/src/main/java/starlingvalve/net/SteadyClock.java
+++ b/src/main/java/starlingvalve/net/SteadyClock.java
@@ -12,11 +12,11 @@
     /**
      * Where the zero lies.
      *
-     * @param boot the boot to whose monotonic clock it refers
+     * @param bootId the boot to whose monotonic clock it refers
      * @param monotonicMs the monotonic clock when the base was chosen
      * @param steadyMs the time of this clock then
      */
-    record Base(String boot, long monotonicMs, long steadyMs) {
+    record Base(String bootId, long monotonicMs, long steadyMs) {
     }
 
     private final TimeSource source;
@@ -29,12 +29,12 @@
 
     /** A clock with a base of its own. */
     static SteadyClock fromWallClock(TimeSource source) {
-        return new SteadyClock(source, new Base(source.boot(), source.monotonicMs(), source.wallMs()));
+        return new SteadyClock(source, new Base(source.bootId(), source.monotonicMs(), source.wallMs()));
     }
 
     /** Goes on with a base of an earlier process, where that means something now. */
     static SteadyClock resume(TimeSource source, Base earlier) {
-        boolean sameBoot = earlier.boot().equals(source.boot()) && earlier.monotonicMs() <= source.monotonicMs();
+        boolean sameBoot = earlier.bootId().equals(source.bootId()) && earlier.monotonicMs() <= source.monotonicMs();
         return sameBoot ? new SteadyClock(source, earlier) : fromWallClock(source);
     }
 
--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -81,7 +81,7 @@
     /** The answer to a submission: why, and for how long to stay away, 0 if nothing is known. */
     record Verdict(Decision decision, String reason, double waitMs, Consumer<Boolean> answered) {
         /** Taken; to be told whether the client may have heard so, or never will. */
-        static Verdict taken(Consumer<Boolean> answered) {
+        static Verdict accepted(Consumer<Boolean> answered) {
             return new Verdict(Decision.ACCEPTED, "", 0, answered);
         }
 
@@ -96,13 +96,13 @@
         /** A message that has ended is handed in again: what became of it. */
         static Verdict finished(FinishedMessage message) {
             return switch (message.result()) {
-                case DELIVERED -> taken(heard -> { });
+                case DELIVERED -> accepted(heard -> { });
                 case REFUSED -> refused("it was handed back", message.waitMs());
                 case FAILED -> new Verdict(Decision.FAILED, "it was given up", 0, heard -> { });
             };
         }
 
-        boolean taken() {
+        boolean accepted() {
             return decision == Decision.ACCEPTED;
         }
     }
@@ -443,7 +443,7 @@
             }
             boolean close = !HttpUtil.isKeepAlive(request);
             desk.take(submission, verdict -> {
-                if (verdict.taken()) {
+                if (verdict.accepted()) {
                     ChannelProgressivePromise written = ctx.newProgressivePromise();
                     written.addListener(new ResponseWriteListener(verdict.answered()));
                     end(ctx, close, answer(HttpResponseStatus.ACCEPTED, ""), written);
--- a/src/main/java/starlingvalve/net/TimeSource.java
+++ b/src/main/java/starlingvalve/net/TimeSource.java
@@ -22,7 +22,7 @@
         }
 
         @Override
-        public String boot() {
+        public String bootId() {
             try {
                 return Files.readString(BOOT_ID).trim();
             } catch (IOException e) {
@@ -38,5 +38,5 @@
     long monotonicMs();
 
     /** Names the boot of the machine. */
-    String boot();
+    String bootId();
 }
--- a/src/main/java/starlingvalve/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -192,7 +192,7 @@
                         AcceptedMessage held =
                                 new AcceptedMessage(journal.nextNumber(), "id" + i, "class", "", Optional.of("key"),
                                         Optional.of("thread"), 1, 1, BODY);
-                        journal.taken(held);
+                        journal.accepted(held);
                         held.attempts.add(new AcceptedMessage.Attempt("endpoint", 1));
                         journal.begins(held, 0);
                         if (i % 10 > 0) {
@@ -269,7 +269,7 @@
 
         @Override
         public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> then) {
-            then.accept(SubmissionServer.Verdict.taken(heard -> { }));
+            then.accept(SubmissionServer.Verdict.accepted(heard -> { }));
         }
     }
 }
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -271,7 +271,7 @@
     @Test
     void whatIsCalledOffByTheHandoverWhileTheDiskFailsEndsInItsTime() throws Exception {
         FailingDisk disk = new FailingDisk();
-        disk.room = 0;
+        disk.writableBytes = 0;
         endsThoughItWasCalledOff(disk);
     }
 
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -101,7 +101,7 @@
     void aJournalThatTheNewProcessHasCompactedBeforeItFailedLosesNothing() throws Exception {
         Path state = folder.resolve("state");
         try (Journal old = new Journal(state, BYTES, 12)) {
-            old.taken(held(old, "first"));
+            old.accepted(held(old, "first"));
             // Close to where it is compacted.
             for (int i = 0; old.size() < BYTES - 3 * 512 - 600; i++) {
                 old.withdrawn("s-1", i % 2 == 0);
@@ -114,7 +114,7 @@
                 }
             }
             old.resume();
-            old.taken(held(old, "later"));
+            old.accepted(held(old, "later"));
         }
         try (Journal read = new Journal(state, BYTES, 12)) {
             assertEquals(List.of("first", "later"), read.held().stream().map(held -> held.id).toList());
@@ -190,13 +190,13 @@
         Path state = folder.resolve("state");
         try (Journal old = new Journal(state, BYTES, 12, disk, TimeSource.SYSTEM)) {
             AcceptedMessage held = held(old, "ended");
-            old.taken(held);
+            old.accepted(held);
             old.pause();
-            disk.room = 0;
+            disk.writableBytes = 0;
             old.resume();
             old.ended(held);
-            disk.mend();
-            assertTrue(old.catchUp());
+            disk.repair();
+            assertTrue(old.writeDeferred());
         }
         try (Journal read = new Journal(state, BYTES, 12)) {
             assertEquals(0, read.held().size());
--- a/src/test/java/starlingvalve/net/JournalClockTest.java
+++ b/src/test/java/starlingvalve/net/JournalClockTest.java
@@ -23,7 +23,7 @@
     private static final class Clocks implements TimeSource {
         private long wallMs = 1_700_000_000_000L;
         private long monotonicMs = 5_000_000;
-        private String boot = "first";
+        private String bootId = "first";
 
         void pass(long ms) {
             wallMs += ms;
@@ -41,8 +41,8 @@
         }
 
         @Override
-        public String boot() {
-            return boot;
+        public String bootId() {
+            return bootId;
         }
     }
 
@@ -62,7 +62,7 @@
         AcceptedMessage held =
                 new AcceptedMessage(journal.nextNumber(), id, "order", "desk", Optional.of("key"), Optional.empty(), 7,
                         journal.clock().nowMs() + LEFT_MS, new byte[10]);
-        journal.taken(held);
+        journal.accepted(held);
         return held;
     }
 
@@ -109,7 +109,7 @@
     @Test
     void afterAnotherBootTheWallClockCounts() throws Exception {
         firstLife();
-        clocks.boot = "second";
+        clocks.bootId = "second";
         clocks.monotonicMs = 9_000_000;
         clocks.wallMs += 7000;
         try (Journal journal = open()) {
--- a/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
+++ b/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
@@ -32,7 +32,7 @@
         long number = journal.nextNumber();
         AcceptedMessage held = new AcceptedMessage(number, "id-" + number, "order", "desk", Optional.of("key"),
                 Optional.empty(), 7, DEADLINE, new byte[body]);
-        journal.taken(held);
+        journal.accepted(held);
         return held;
     }
 
@@ -45,12 +45,12 @@
         try (Journal journal = open()) {
             AcceptedMessage delivered = take(journal, 10);
             AcceptedMessage handedBack = take(journal, 10);
-            disk.room = 0;
+            disk.writableBytes = 0;
             journal.ended(delivered, FinishedMessage.Result.DELIVERED);
             journal.owed(handedBack, new AcceptedMessage.Notice(true, 500));
-            assertFalse(journal.catchUp(), "the disk still fails");
-            disk.mend();
-            assertTrue(journal.catchUp());
+            assertFalse(journal.writeDeferred(), "the disk still fails");
+            disk.repair();
+            assertTrue(journal.writeDeferred());
         }
         try (Journal journal = open()) {
             assertEquals(List.of("id-1"), ids(journal));
@@ -65,12 +65,12 @@
         try (Journal journal = open()) {
             AcceptedMessage held = take(journal, 10);
             held.attempts.add(new AcceptedMessage.Attempt("s-0", 1));
-            disk.room = 0;
+            disk.writableBytes = 0;
             journal.neverRan(held, 0);
             assertThrows(IOException.class, () -> take(journal, 10), "it can't be recorded, so it is refused");
             held.attempts.add(new AcceptedMessage.Attempt("s-1", 2));
             assertThrows(IOException.class, () -> journal.begins(held, 1), "nor may it be sent");
-            disk.mend();
+            disk.repair();
             journal.begins(held, 1);
         }
         try (Journal journal = open()) {
@@ -85,12 +85,12 @@
     void aTornRecordThatCantBeCutOffHidesNothingThatIsTakenLater() throws Exception {
         try (Journal journal = open()) {
             take(journal, 10);
-            disk.room = 40;
-            disk.truncates = false;
+            disk.writableBytes = 40;
+            disk.truncateSucceeds = false;
             assertThrows(IOException.class, () -> take(journal, 100));
-            disk.room = Long.MAX_VALUE;
+            disk.writableBytes = Long.MAX_VALUE;
             assertThrows(IOException.class, () -> take(journal, 10), "the torn bytes are still there");
-            disk.mend();
+            disk.repair();
             take(journal, 10);
         }
         try (Journal journal = open()) {
@@ -103,9 +103,9 @@
         try (Journal journal = open()) {
             AcceptedMessage held = take(journal, 10);
             held.attempts.add(new AcceptedMessage.Attempt("s-0", 1));
-            disk.room = 0;
+            disk.writableBytes = 0;
             journal.neverRan(held, 0);
-            disk.mend();
+            disk.repair();
             long before = journal.size();
             for (long size = 0; journal.size() >= size;) {
                 size = journal.size();
@@ -121,27 +121,27 @@
     /** A copy that can't be written leaves the file as it was. */
     @Test
     void aCompactionThatFailsLosesNothing() throws Exception {
-        List<String> taken = new ArrayList<>();
+        List<String> accepted = new ArrayList<>();
         try (Journal journal = open()) {
             for (int i = 0; i < 400; i++) {
-                disk.room = i % 3 == 0 ? 1000 : Long.MAX_VALUE;
+                disk.writableBytes = i % 3 == 0 ? 1000 : Long.MAX_VALUE;
                 try {
                     AcceptedMessage held = take(journal, 2000);
-                    taken.add(held.id);
-                    if (taken.size() > 10) {
+                    accepted.add(held.id);
+                    if (accepted.size() > 10) {
                         journal.ended(held);
-                        taken.remove(held.id);
+                        accepted.remove(held.id);
                     }
                 } catch (IOException full) {
                     // It is refused.
                 }
                 assertTrue(folderBytes() <= DISK_BYTES, "the folder stays under its bound");
             }
-            disk.mend();
-            assertTrue(journal.catchUp());
+            disk.repair();
+            assertTrue(journal.writeDeferred());
         }
         try (Journal journal = open()) {
-            assertEquals(taken, ids(journal));
+            assertEquals(accepted, ids(journal));
         }
     }
 
@@ -165,12 +165,12 @@
                     journal.ended(held);
                 }
                 for (int step = 0; step < 300; step++) {
-                    disk.room = random.nextInt(4) == 0 ? random.nextInt(3000) : Long.MAX_VALUE;
-                    disk.truncates = random.nextInt(3) > 0;
+                    disk.writableBytes = random.nextInt(4) == 0 ? random.nextInt(3000) : Long.MAX_VALUE;
+                    disk.truncateSucceeds = random.nextInt(3) > 0;
                     step(journal, live, random);
                 }
-                disk.mend();
-                assertTrue(journal.catchUp());
+                disk.repair();
+                assertTrue(journal.writeDeferred());
             }
             try (Journal journal = open()) {
                 assertEquals(describe(live), describe(List.copyOf(journal.held())), "seed " + seed);
--- a/src/test/java/starlingvalve/net/JournalHandoverTest.java
+++ b/src/test/java/starlingvalve/net/JournalHandoverTest.java
@@ -37,11 +37,11 @@
             }
             old.pause();
             try (Journal next = new Journal(folder, BYTES, 12)) {
-                next.taken(held(next, "taken"));
+                next.accepted(held(next, "taken"));
                 for (int i = 0; i < 20; i++) {
                     old.withdrawn("s-1", i % 2 == 0);
                 }
-                next.taken(held(next, "later"));
+                next.accepted(held(next, "later"));
             }
         }
         assertEquals(List.of("taken", "later"), inFile());
@@ -53,10 +53,10 @@
         FailingDisk disk = new FailingDisk();
         try (Journal old = new Journal(folder, BYTES, 12, disk, TimeSource.SYSTEM)) {
             AcceptedMessage held = held(old, "ended");
-            old.taken(held);
-            disk.room = 0;
+            old.accepted(held);
+            disk.writableBytes = 0;
             old.ended(held);
-            disk.mend();
+            disk.repair();
             old.pause();
         }
         assertEquals(List.of(), inFile());
--- a/src/test/java/starlingvalve/net/JournalTest.java
+++ b/src/test/java/starlingvalve/net/JournalTest.java
@@ -62,7 +62,7 @@
                 journal.withdrawn("s-" + i, true);
                 assertTrue(journal.size() <= DISK);
             }
-            journal.taken(held(journal, 3));
+            journal.accepted(held(journal, 3));
         }
         try (Journal journal = open()) {
             List<String> known = List.copyOf(journal.withdrawn());
@@ -79,7 +79,7 @@
             AcceptedMessage b = held(journal, 3);
             AcceptedMessage c = held(journal, 3);
             for (AcceptedMessage h : List.of(a, b, c)) {
-                journal.taken(h);
+                journal.accepted(h);
             }
             attempt(journal, a, new AcceptedMessage.Attempt("s-1", 100));
             attempt(journal, a, new AcceptedMessage.Attempt("s-2", 200));
@@ -109,7 +109,7 @@
     void anAttemptThatHasNotBegunKeepsItsPlaceAndHasNotRun() throws Exception {
         try (Journal journal = open()) {
             AcceptedMessage held = held(journal, 3);
-            journal.taken(held);
+            journal.accepted(held);
             held.attempts.add(new AcceptedMessage.Attempt("s-0", 100));
             attempt(journal, held, new AcceptedMessage.Attempt("s-1", 200));
             journal.neverRan(held, 0);
@@ -134,7 +134,7 @@
                 // Over the bound of the file, so that it is compacted meanwhile.
                 for (int i = 0; i < 60; i++) {
                     AcceptedMessage other = held(journal, 4000);
-                    journal.taken(other);
+                    journal.accepted(other);
                     journal.ended(other);
                 }
             }
@@ -145,11 +145,11 @@
     void aWholeRecordThatMeansNothingHereHidesNoneBehindIt() throws Exception {
         Path file = folder.resolve("journal");
         try (Journal journal = open()) {
-            journal.taken(held(journal, 3));
+            journal.accepted(held(journal, 3));
         }
         byte[] first = Files.readAllBytes(file);
         try (Journal journal = open()) {
-            journal.taken(held(journal, 3));
+            journal.accepted(held(journal, 3));
         }
         byte[] both = Files.readAllBytes(file);
         for (byte[] body : List.of(new byte[] {99, 0, 0, 0, 0, 0, 0, 0, 0}, new byte[] {99},
@@ -171,9 +171,9 @@
     void aTornTailIsDroppedAndWrittenOver() throws Exception {
         long first;
         try (Journal journal = open()) {
-            journal.taken(held(journal, 10));
+            journal.accepted(held(journal, 10));
             first = journal.size();
-            journal.taken(held(journal, 10));
+            journal.accepted(held(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] whole = Files.readAllBytes(file);
@@ -181,7 +181,7 @@
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
                 assertEquals(1, journal.held().size());
-                journal.taken(held(journal, 10));
+                journal.accepted(held(journal, 10));
             }
             try (Journal journal = open()) {
                 assertEquals(2, journal.held().size(), "what follows a torn tail must be found again");
@@ -197,8 +197,8 @@
     @Test
     void aChangedByteEndsTheReplay() throws Exception {
         try (Journal journal = open()) {
-            journal.taken(held(journal, 10));
-            journal.taken(held(journal, 10));
+            journal.accepted(held(journal, 10));
+            journal.accepted(held(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] bytes = Files.readAllBytes(file);
@@ -220,7 +220,7 @@
                 long before = journal.size();
                 AcceptedMessage h = held(journal, random.nextInt(4000));
                 try {
-                    journal.taken(h);
+                    journal.accepted(h);
                     live.add(h);
                     attempt(journal, h, new AcceptedMessage.Attempt("s-" + i, i));
                     journal.neverRan(h, 0);
@@ -248,25 +248,25 @@
     @Test
     void thereIsRoomForEveryLaterRecordOfWhatWasTaken() throws Exception {
         try (Journal journal = open()) {
-            Deque<AcceptedMessage> taken = new ArrayDeque<>();
+            Deque<AcceptedMessage> accepted = new ArrayDeque<>();
             assertThrows(IOException.class, () -> {
                 while (true) {
                     AcceptedMessage h = held(journal, 500);
-                    journal.taken(h);
-                    taken.add(h);
+                    journal.accepted(h);
+                    accepted.add(h);
                 }
             });
-            for (AcceptedMessage h : taken) {
+            for (AcceptedMessage h : accepted) {
                 for (int i = 0; i < 12; i++) {
                     attempt(journal, h, new AcceptedMessage.Attempt("s-5be2a07c5be2a07c", i));
                     journal.neverRan(h, i);
                 }
                 journal.owed(h, new AcceptedMessage.Notice(true, 1));
             }
-            for (AcceptedMessage h : taken) {
+            for (AcceptedMessage h : accepted) {
                 journal.ended(h);
             }
-            journal.taken(held(journal, 500));
+            journal.accepted(held(journal, 500));
         }
     }
 
@@ -281,11 +281,11 @@
 
     // ---- messages that have ended ----
 
-    private static AcceptedMessage taken(Journal journal, String id, long deadlineMs) throws IOException {
+    private static AcceptedMessage accepted(Journal journal, String id, long deadlineMs) throws IOException {
         AcceptedMessage held =
                 new AcceptedMessage(journal.nextNumber(), id, "order", "desk", Optional.of("key"), Optional.empty(), 7,
                         deadlineMs, new byte[10]);
-        journal.taken(held);
+        journal.accepted(held);
         return held;
     }
 
@@ -297,12 +297,12 @@
     void howAMessageEndedOutlastsTheProcessAndCompaction() throws Exception {
         long deadline = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
-            journal.ended(taken(journal, "delivered", deadline), FinishedMessage.Result.DELIVERED);
-            AcceptedMessage heard = taken(journal, "heard", deadline);
+            journal.ended(accepted(journal, "delivered", deadline), FinishedMessage.Result.DELIVERED);
+            AcceptedMessage heard = accepted(journal, "heard", deadline);
             journal.owed(heard, new AcceptedMessage.Notice(true, 700));
             journal.ended(heard);
-            journal.owed(taken(journal, "unheard", deadline), new AcceptedMessage.Notice(false, 0));
-            journal.ended(taken(journal, "nobody's", deadline));
+            journal.owed(accepted(journal, "unheard", deadline), new AcceptedMessage.Notice(false, 0));
+            journal.ended(accepted(journal, "nobody's", deadline));
         }
         for (int life = 0; life < 3; life++) {
             try (Journal journal = open()) {
@@ -315,7 +315,7 @@
                 long before = journal.size();
                 for (int i = 0; journal.size() >= before; i++) {
                     before = journal.size();
-                    journal.ended(taken(journal, "filler-" + i, 0), FinishedMessage.Result.DELIVERED);
+                    journal.ended(accepted(journal, "filler-" + i, 0), FinishedMessage.Result.DELIVERED);
                 }
             }
         }
@@ -326,8 +326,8 @@
     void aDeliveryThatANoticeConfirmsStaysOneOverRestartsAndCompaction() throws Exception {
         long deadline = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
-            journal.confirming(taken(journal, "heard", deadline));
-            journal.confirming(taken(journal, "unheard", deadline));
+            journal.confirming(accepted(journal, "heard", deadline));
+            journal.confirming(accepted(journal, "unheard", deadline));
             journal.ended(journal.held().iterator().next());
         }
         for (int life = 0; life < 3; life++) {
@@ -339,7 +339,7 @@
                 assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.held().iterator().next().owed.orElseThrow());
                 for (long before = 0; journal.size() >= before;) {
                     before = journal.size();
-                    journal.ended(taken(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
+                    journal.ended(accepted(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
                 }
             }
         }
@@ -349,7 +349,8 @@
     void endedMessagesAreForgottenOnceTheirIdsCantComeAgain() throws Exception {
         long now = System.currentTimeMillis();
         try (Journal journal = open()) {
-            journal.ended(taken(journal, "late", now - FinishedMessage.REPEAT_GRACE_MS), FinishedMessage.Result.FAILED);
+            journal.ended(accepted(journal, "late", now - FinishedMessage.REPEAT_GRACE_MS),
+                    FinishedMessage.Result.FAILED);
             assertEquals(Optional.empty(), result(journal, "late"));
         }
     }
@@ -359,7 +360,7 @@
         long deadline = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
             for (int i = 0; i < 5000; i++) {
-                journal.ended(taken(journal, "id-" + i, deadline), FinishedMessage.Result.DELIVERED);
+                journal.ended(accepted(journal, "id-" + i, deadline), FinishedMessage.Result.DELIVERED);
                 assertTrue(Files.size(folder.resolve("journal")) <= DISK);
             }
             assertEquals(Optional.empty(), result(journal, "id-0"));
--- a/src/test/java/starlingvalve/net/ReadinessTest.java
+++ b/src/test/java/starlingvalve/net/ReadinessTest.java
@@ -81,7 +81,7 @@
     private void leaveJournal() throws IOException {
         try (Journal journal = new Journal(folder.resolve("state"), (long) (DISK_MB * 1_000_000), 12)) {
             for (int i = 0; i < MESSAGES; i++) {
-                journal.taken(new AcceptedMessage(journal.nextNumber(), "old" + i, "order", "acme",
+                journal.accepted(new AcceptedMessage(journal.nextNumber(), "old" + i, "order", "acme",
                         Optional.of("key" + i), Optional.empty(), 7, System.currentTimeMillis() + 20_000,
                         new byte[BODY_BYTES]));
             }
--- a/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
+++ b/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
@@ -33,6 +33,6 @@
     public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> then) {
         ids.add(submission.id());
         budgets.add(submission.budgetMs());
-        then.accept(SubmissionServer.Verdict.taken(heard -> { }));
+        then.accept(SubmissionServer.Verdict.accepted(heard -> { }));
     }
 }
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -163,14 +163,14 @@
         long[] free = new long[1];
         script((request, socket) -> {
             boolean limited = request.header("X-Call-Id").contains("-3-");
-            boolean taken;
+            boolean accepted;
             synchronized (free) {
-                taken = !limited || System.nanoTime() >= free[0];
-                if (limited && taken) {
+                accepted = !limited || System.nanoTime() >= free[0];
+                if (limited && accepted) {
                     free[0] = System.nanoTime() + 100_000_000;
                 }
             }
-            StubServer.status(taken ? 200 : 429, taken ? "" : "Retry-After: 0.1\r\n").come(request, socket);
+            StubServer.status(accepted ? 200 : 429, accepted ? "" : "Retry-After: 0.1\r\n").come(request, socket);
         });
     }
 
@@ -223,9 +223,9 @@
     void aFolderOfOtherSettingsCostsNoOtherMessage() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             unattempted(journal, "gone", "a class of another customer", 7, Optional.empty());
-            journal.taken(new AcceptedMessage(journal.nextNumber(), "keyless", "order", "nobody", Optional.empty(),
+            journal.accepted(new AcceptedMessage(journal.nextNumber(), "keyless", "order", "nobody", Optional.empty(),
                     Optional.empty(), 7, System.currentTimeMillis() + 15_000, new byte[1]));
-            journal.taken(new AcceptedMessage(journal.nextNumber(), "nowhere", "plain", "acme", Optional.empty(),
+            journal.accepted(new AcceptedMessage(journal.nextNumber(), "nowhere", "plain", "acme", Optional.empty(),
                     Optional.empty(), 99, System.currentTimeMillis() + 3000, new byte[1]));
             unattempted(journal, "good", "once", 7, Optional.empty());
         }
--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -236,7 +236,7 @@
             AcceptedMessage accepted =
                     new AcceptedMessage(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"),
                             Optional.empty(), 7, nowMs + leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1));
-            journal.taken(accepted);
+            journal.accepted(accepted);
             if (attemptAgoMs > 0) {
                 JournalTest.attempt(journal, accepted, new AcceptedMessage.Attempt("s-0", nowMs - attemptAgoMs));
             }
@@ -253,7 +253,7 @@
         AcceptedMessage accepted = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
                 orderingKey, destination, System.currentTimeMillis() + 15_000,
                 "hello".getBytes(StandardCharsets.ISO_8859_1));
-        journal.taken(accepted);
+        journal.accepted(accepted);
         return accepted;
     }
 
