--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -15,82 +15,91 @@
 import java.util.TreeMap;
 
 /**
- * What this sender has taken on, in a file that outlasts its process. Records are appended, each with its
- * length and checksum, and reach the system's cache before the step that they stand for: that survives any
- * end of the process, so nothing is forced to disk.
+ * The accepted messages and their progress, in a file that outlives the process. Records are appended, each with its
+ * length and checksum, and are in the operating system's page cache before the step that they record is taken. The page
+ * cache survives any end of the process, so nothing is forced to disk.
  *
- * <p>The folder never holds more than its bound: before an append would leave no room for a compacted copy
- * beside the file, the live records are written to a new file, which then takes the old one's place. New
- * messages are turned away while what is live, with the records that it may still need, fills half the bound.
+ * <p>The journal's files never take up more than the configured number of bytes. Before an append would leave no room
+ * for a compacted copy beside the file, the live records are written to a new file, which then replaces the old one.
+ * New messages are rejected while the live records, together with the later records that their messages may need, fill
+ * half of these bytes.
  */
 final class Journal implements AutoCloseable {
-    /** Longest record that is believed: a longer one is a torn or foreign length. */
-    private static final int LONGEST = 1 << 20;
-    /** Room for the later records of a message: for each attempt, and for its end. */
-    private static final int ATTEMPT_ROOM = 128;
-    private static final int END_ROOM = 256;
-    /** Files count in whole blocks: two files, and a block to spare. */
-    private static final int BLOCKS = 3 * 512;
-    /** Share of the bound that messages which have ended may take up. */
-    private static final int FINISHED_SHARE = 16;
-    /** Share of the bound that endpoints which take no new work may take up. */
-    private static final int WITHDRAWN_SHARE = 32;
+    /** Upper limit of a valid record: a greater length is read from a torn record or from foreign bytes. */
+    private static final int MAX_RECORD_BYTES = 1 << 20;
+    /** Bytes reserved for the later records of a message: for each attempt, and for its end. */
+    private static final int ATTEMPT_RESERVE_BYTES = 128;
+    private static final int END_RESERVE_BYTES = 256;
+    /** Files take up whole blocks of 512 bytes: one partly filled block for each of two files, and one to spare. */
+    private static final int BLOCK_RESERVE_BYTES = 3 * 512;
+    /** Records of ended messages take up at most this fraction (1/16) of the bytes. */
+    private static final int FINISHED_DIVISOR = 16;
+    /** Records of endpoints that take no new work take up at most this fraction (1/32) of the bytes. */
+    private static final int WITHDRAWN_DIVISOR = 32;
 
     private final JournalFile file;
     private final SteadyClock clock;
-    /** The base of the clock that an earlier process has left. */
-    private Optional<SteadyClock.Base> earlierBase = Optional.empty();
-    /** The base of the clock is in the file, where it has to be before any time by it. */
+    /** The base of the clock that an earlier process recorded. */
+    private Optional<SteadyClock.Base> recordedClockBase = Optional.empty();
+    /** Whether the base of the clock is in the file: it must precede every record with a time of this clock. */
     private boolean clockRecorded;
-    private final long bound;
-    private final long messageRoom;
-    private final Map<Long, AcceptedMessage> live = new TreeMap<>();
+    /** Limit of the bytes of the file and of a compacted copy together. */
+    private final long maxBytes;
+    /** Bytes reserved for the later records of one message. */
+    private final long messageReserveBytes;
+    /** The messages that have not ended or whose notice is not acknowledged yet, by number. */
+    private final Map<Long, AcceptedMessage> liveMessages = new TreeMap<>();
     private final FinishedMessages finished;
+    /** Bytes of the records of all live messages. */
     private long liveBytes;
     private long firstUnusedNumber;
-    /** What the operators have ordered, which a later life keeps to. */
+    /** Whether operators drain this sender; like {@link #inMaintenance}, it stays in force after a restart. */
     private boolean drained;
     private final Set<String> inMaintenance = new LinkedHashSet<>();
     private final WithdrawnEndpoints withdrawn;
+    /** Length of {@link #header}. */
     private long headerBytes;
     private Runnable onWriteDeferred = () -> { };
-    /** Another process may write the file. */
+    /** Whether another process may be writing the file. */
     private boolean paused;
-    /** Another process has written the file, or may have: nothing may be appended to it before it is replaced. */
+    /** Whether another process has written the file or may have: it must be replaced before anything is appended. */
     private boolean outdated;
 
     Journal(Path folder, long diskBytes, int maxAttempts) throws IOException {
         this(folder, diskBytes, maxAttempts, JournalFile.Disk.REAL, TimeSource.SYSTEM);
     }
 
-    /** Goes on where another process has {@linkplain #pause paused}, which could not write these records. */
+    /**
+     * Opens the journal that a predecessor has {@linkplain #pause paused}; {@code unwritten} are the records that the
+     * predecessor could not write.
+     */
     Journal(Path folder, long diskBytes, int maxAttempts, byte[] unwritten) throws IOException {
         this(folder, diskBytes, maxAttempts, unwritten, JournalFile.Disk.REAL, TimeSource.SYSTEM);
     }
 
-    /** On a disk and with clocks of its own, for tests. */
+    /** For tests: with another disk and other clocks. */
     Journal(Path folder, long diskBytes, int maxAttempts, JournalFile.Disk disk, TimeSource time) throws IOException {
         this(folder, diskBytes, maxAttempts, new byte[0], disk, time);
     }
 
     private Journal(Path folder, long diskBytes, int maxAttempts, byte[] unwritten, JournalFile.Disk disk,
             TimeSource time) throws IOException {
-        this.bound = diskBytes - BLOCKS;
-        this.finished = new FinishedMessages(bound / FINISHED_SHARE);
-        this.withdrawn = new WithdrawnEndpoints(bound / WITHDRAWN_SHARE);
-        this.messageRoom = (long) maxAttempts * ATTEMPT_ROOM + END_ROOM;
+        this.maxBytes = diskBytes - BLOCK_RESERVE_BYTES;
+        this.finished = new FinishedMessages(maxBytes / FINISHED_DIVISOR);
+        this.withdrawn = new WithdrawnEndpoints(maxBytes / WITHDRAWN_DIVISOR);
+        this.messageReserveBytes = (long) maxAttempts * ATTEMPT_RESERVE_BYTES + END_RESERVE_BYTES;
         this.file = new JournalFile(folder.resolve("journal"), folder.resolve("journal.next"), disk);
         readFile();
         replay(unwritten);
         file.defer(unwritten);
-        this.clock = earlierBase.map(base -> SteadyClock.resume(time, base))
+        this.clock = recordedClockBase.map(base -> SteadyClock.resume(time, base))
                 .orElseGet(() -> SteadyClock.fromWallClock(time));
-        clockRecorded = earlierBase.equals(Optional.of(clock.base()));
+        clockRecorded = recordedClockBase.equals(Optional.of(clock.base()));
         finished.removeExpired(clock.nowMs());
         header();
     }
 
-    /** A torn tail would hide all that is appended behind it. */
+    /** Reads the file and cuts off a torn tail, which would hide all records appended behind it. */
     private void readFile() throws IOException {
         try {
             file.truncateTo(replay(file.read()));
@@ -100,130 +109,144 @@
         }
     }
 
-    /** The clock by which all times here are kept. */
+    /** Returns the clock of all times in the journal. */
     SteadyClock clock() {
         return clock;
     }
 
-    /** What was held when the last process ended, in the order taken. */
+    /** Returns all messages that have not ended or whose notice is not acknowledged yet, in the order of acceptance. */
     Collection<AcceptedMessage> held() {
-        return new ArrayList<>(live.values());
+        return new ArrayList<>(liveMessages.values());
     }
 
-    /** A number for the next message, above all that were used. */
+    /** Returns the number for the next message, which is above all used ones. */
     long nextNumber() {
         return firstUnusedNumber++;
     }
 
-    /** Takes a message on, or throws: then it must be refused. */
-    void accepted(AcceptedMessage held) throws IOException {
-        byte[] record = JournalRecord.accepted(held);
-        long reserved = headerBytes + bound / FINISHED_SHARE + bound / WITHDRAWN_SHARE;
-        long needed = reserved + liveBytes + record.length + messageRoom * (live.size() + 1L);
-        if (2 * needed > bound) {
+    /** Records that a message is accepted; if this throws, the message must be rejected. */
+    void accepted(AcceptedMessage message) throws IOException {
+        byte[] record = JournalRecord.accepted(message);
+        long reserved = headerBytes + maxBytes / FINISHED_DIVISOR + maxBytes / WITHDRAWN_DIVISOR;
+        long needed = reserved + liveBytes + record.length + messageReserveBytes * (liveMessages.size() + 1L);
+        if (2 * needed > maxBytes) {
             throw new IOException("the journal has no room for another message");
         }
-        append(held, record);
-        live.put(held.number, held);
+        append(message, record);
+        liveMessages.put(message.number, message);
     }
 
-    /** The attempt's first byte is about to be written: it counts as one that may have run from here on. */
-    void begins(AcceptedMessage held, int attempt) throws IOException {
-        AcceptedMessage.Attempt begun = held.attempts.get(attempt);
-        if (attempt < held.recorded) {
-            append(held, JournalRecord.mark(JournalRecord.BEGUN, held, attempt));
+    /**
+     * Records that the attempt's first byte is about to be written: from now on the attempt counts as one that may have
+     * run. If this throws, the attempt must not be made.
+     */
+    void begins(AcceptedMessage message, int attempt) throws IOException {
+        AcceptedMessage.Attempt started = message.attempts.get(attempt);
+        if (attempt < message.recorded) {
+            append(message, JournalRecord.attemptMark(JournalRecord.ATTEMPT_STARTED, message, attempt));
         } else {
-            record(held, attempt);
-            append(held, JournalRecord.attempt(held, begun, true));
-            held.recorded++;
+            recordAttempts(message, attempt);
+            append(message, JournalRecord.attempt(message, started, true));
+            message.recorded++;
         }
-        begun.neverRan = false;
+        started.neverRan = false;
     }
 
-    /** It ended before it began, or its end proved that it never ran; if this is lost, a begun one may have. */
-    void neverRan(AcceptedMessage held, int attempt) {
-        if (attempt >= held.recorded) {
-            record(held, attempt + 1);
-        } else if (!held.attempts.get(attempt).neverRan) {
-            held.attempts.get(attempt).neverRan = true;
-            record(held, JournalRecord.mark(JournalRecord.NEVER_RAN, held, attempt));
+    /**
+     * Records that an attempt ended before its first byte was written, or that its outcome proves that it never ran. If
+     * this record is lost, an attempt that was started counts as one that may have run.
+     */
+    void neverRan(AcceptedMessage message, int attempt) {
+        if (attempt >= message.recorded) {
+            recordAttempts(message, attempt + 1);
+        } else if (!message.attempts.get(attempt).neverRan) {
+            message.attempts.get(attempt).neverRan = true;
+            appendOrDefer(message, JournalRecord.attemptMark(JournalRecord.NEVER_RAN, message, attempt));
         }
     }
 
-    /** Records so many attempts, those that were not as not begun: later records know them by their places. */
-    private void record(AcceptedMessage held, int attempts) {
-        while (held.recorded < attempts) {
-            record(held, JournalRecord.attempt(held, held.attempts.get(held.recorded), false));
-            held.recorded++;
+    /**
+     * Records the first {@code attempts} attempts, those without a record so far as not started: later records refer to
+     * an attempt by its index.
+     */
+    private void recordAttempts(AcceptedMessage message, int attempts) {
+        while (message.recorded < attempts) {
+            appendOrDefer(message, JournalRecord.attempt(message, message.attempts.get(message.recorded), false));
+            message.recorded++;
         }
     }
 
-    /** The message has ended by a notice that is still to be heard. */
-    void owed(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        owed(held, notice, FinishedMessage.noticed(held, notice));
+    /** Records that the message has ended with a notice, which is not acknowledged yet. */
+    void owed(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        owed(message, notice, FinishedMessage.noticed(message, notice));
     }
 
-    /** The message was delivered, which a notice that is still to be heard confirms. */
-    void confirming(AcceptedMessage held) {
-        owed(held, AcceptedMessage.Notice.CONFIRMATION, FinishedMessage.ended(held, FinishedMessage.Result.DELIVERED));
+    /** Records that the message was delivered, which a notice that is not acknowledged yet confirms. */
+    void confirming(AcceptedMessage message) {
+        owed(message, AcceptedMessage.Notice.CONFIRMATION,
+                FinishedMessage.ended(message, FinishedMessage.Result.DELIVERED));
     }
 
-    private void owed(AcceptedMessage held, AcceptedMessage.Notice notice, FinishedMessage end) {
-        held.owed = Optional.of(notice);
-        keep(end);
+    private void owed(AcceptedMessage message, AcceptedMessage.Notice notice, FinishedMessage end) {
+        message.owed = Optional.of(notice);
+        addFinished(end);
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        records.writeBytes(JournalRecord.owed(held, notice));
+        records.writeBytes(JournalRecord.owed(message, notice));
         records.writeBytes(JournalRecord.finished(end));
-        record(held, records.toByteArray());
+        appendOrDefer(message, records.toByteArray());
     }
 
-    /** Nothing more is owed for the message: a notice of its end was heard, or nobody ever heard it was taken. */
-    void ended(AcceptedMessage held) {
-        ended(held, held.owed.map(notice -> finished.find(held.id, Long.MIN_VALUE)
-                .orElseGet(() -> FinishedMessage.noticed(held, notice))));
+    /**
+     * Records that nothing more is due for the message: the notice of its end was acknowledged, or its acceptance never
+     * was.
+     */
+    void ended(AcceptedMessage message) {
+        ended(message, message.owed.map(notice -> finished.find(message.id, Long.MIN_VALUE)
+                .orElseGet(() -> FinishedMessage.noticed(message, notice))));
     }
 
-    /** The message has ended without a notice. */
-    void ended(AcceptedMessage held, FinishedMessage.Result result) {
-        ended(held, Optional.of(FinishedMessage.ended(held, result)));
+    /** Records that the message has ended without a notice. */
+    void ended(AcceptedMessage message, FinishedMessage.Result result) {
+        ended(message, Optional.of(FinishedMessage.ended(message, result)));
     }
 
-    private void ended(AcceptedMessage held, Optional<FinishedMessage> end) {
-        end.ifPresent(this::keep);
-        if (live.remove(held.number) != null) {
-            liveBytes -= held.bytes;
-            // In one piece, so that no end of the process leaves the one without the other.
+    private void ended(AcceptedMessage message, Optional<FinishedMessage> end) {
+        end.ifPresent(this::addFinished);
+        if (liveMessages.remove(message.number) != null) {
+            liveBytes -= message.bytes;
+            // Written in one piece, so that no end of the process leaves one of the two records without the other.
             ByteArrayOutputStream records = new ByteArrayOutputStream();
-            records.writeBytes(JournalRecord.ended(held));
+            records.writeBytes(JournalRecord.ended(message));
             end.map(JournalRecord::finished).ifPresent(records::writeBytes);
-            record(records.toByteArray());
+            appendOrDefer(records.toByteArray());
         }
     }
 
-    private void keep(FinishedMessage message) {
+    private void addFinished(FinishedMessage message) {
         finished.add(message, JournalRecord.finished(message).length, clock.nowMs());
     }
 
-    /** How the message with this id has ended, if it did and its id may still come again. */
+    /** Returns how the message with this id has ended, if it has and its id may still be submitted again. */
     Optional<FinishedMessage> finished(String id) {
         return finished.find(id, clock.nowMs());
     }
 
-    /** Clients are sent away from now on, or taken again. */
+    /** Records that operators drain this sender, so that clients are rejected, or that they end the drain. */
     void drained(boolean on) throws IOException {
         append(JournalRecord.drained(on));
         drained = on;
         header();
     }
 
+    /** Returns whether operators drain this sender. */
     boolean drained() {
         return drained;
     }
 
-    /** An endpoint is left out from now on, or put back. */
-    void inMaintenance(String endpoint, boolean out) throws IOException {
-        append(JournalRecord.inMaintenance(endpoint, out));
-        if (out) {
+    /** Records that operators put an endpoint in maintenance, or back in service. */
+    void inMaintenance(String endpoint, boolean on) throws IOException {
+        append(JournalRecord.inMaintenance(endpoint, on));
+        if (on) {
             inMaintenance.add(endpoint);
         } else {
             inMaintenance.remove(endpoint);
@@ -231,27 +254,27 @@
         header();
     }
 
-    /** Endpoints that operators have left out. */
+    /** Returns the endpoints in maintenance. */
     Set<String> inMaintenance() {
         return Set.copyOf(inMaintenance);
     }
 
     /**
-     * Discovery has told whether an endpoint takes new work. That outlasts the process, as the list with which the next
-     * one starts may be older.
+     * Records whether an endpoint takes new work, as received from discovery: {@code on} if it takes none. The record
+     * outlives the process, since the list with which the next process starts may be older.
      */
     void withdrawn(String endpoint, boolean on) {
         if (withdrawn.set(endpoint, on)) {
-            record(JournalRecord.withdrawn(endpoint, on));
+            appendOrDefer(JournalRecord.withdrawn(endpoint, on));
         }
     }
 
-    /** Endpoints that take no new work, as discovery told last. */
+    /** Returns the endpoints that take no new work, as last received from discovery. */
     Set<String> withdrawn() {
         return withdrawn.ids();
     }
 
-    /** The base of the clock and the orders that stand, as a compacted copy begins with them. */
+    /** Returns the first records of a compacted copy: the base of the clock and the operators' orders in force. */
     private byte[] header() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(JournalRecord.clock(clock.base()));
@@ -265,12 +288,12 @@
         return bytes.toByteArray();
     }
 
-    /** Called each time that something which has happened is not in the file, as the disk did not take it. */
+    /** Sets the task that runs each time a record of something that has happened is deferred, as the write failed. */
     void onWriteDeferred(Runnable task) {
         onWriteDeferred = task;
     }
 
-    /** Tries to write what the disk did not take; whether all is in the file now. */
+    /** Tries to write the deferred records; returns whether all records are in the file now. */
     boolean writeDeferred() {
         try {
             prepareToWrite();
@@ -282,14 +305,14 @@
         }
     }
 
-    /** Whether something that has happened is not in the file, as the disk did not take it. */
+    /** Returns whether a record of something that has happened is not in the file, as its write failed. */
     boolean hasDeferredRecords() {
         return file.unwrittenBytes() > 0;
     }
 
     /**
-     * Lets go of the file, since another process may write it now: nothing is written until {@link #resume}. Returns the
-     * records that the disk has not taken, which that process has to know.
+     * Closes the file, since another process may write it from now on: nothing is written until {@link #resume}.
+     * Returns the records that could not be written, which the other process needs.
      */
     byte[] pause() {
         writeDeferred();
@@ -298,23 +321,26 @@
         return file.unwritten();
     }
 
-    /** That process never came to serve: if it has written on its way, all that is known here is written anew first. */
+    /**
+     * Resumes writing after a {@link #pause} when the other process did not take over. If that process may have written
+     * the file, the whole state is written anew before the next append.
+     */
     void resume() {
         paused = false;
         outdated = !file.reopenUnchanged();
     }
 
-    /** All numbers below this one are used. */
+    /** Returns the number below which all numbers count as used. */
     long firstUnusedNumber() {
         return firstUnusedNumber;
     }
 
-    /** Numbers below this one are used, whether the file still knows of them or not. */
+    /** Marks all numbers below {@code used} as used, even those that no record in the file mentions any more. */
     void reserveNumbersBelow(long used) {
         firstUnusedNumber = Math.max(firstUnusedNumber, used);
     }
 
-    /** Bytes of the file now. */
+    /** Returns the file's current length in bytes. */
     long size() {
         return file.size();
     }
@@ -326,16 +352,17 @@
 
     // ---- writing ----
 
-    /** What is about to happen to a message; throws if it can't be written, and then must not happen. */
-    private void append(AcceptedMessage held, byte[] record) throws IOException {
+    /** Records what is about to happen to a message; if this throws, it must not happen. */
+    private void append(AcceptedMessage message, byte[] record) throws IOException {
         append(record);
-        count(held, record.length);
+        countBytes(message, record.length);
     }
 
+    /** Writes a record behind the deferred ones, and before it the base of the clock if the file lacks it. */
     private void append(byte[] record) throws IOException {
         prepareToWrite();
         makeRoom(record.length);
-        if (file.size() + file.unwrittenBytes() + record.length > bound) {
+        if (file.size() + file.unwrittenBytes() + record.length > maxBytes) {
             throw new IOException("the journal is full");
         }
         if (!clockRecorded) {
@@ -345,13 +372,13 @@
         file.append(record);
     }
 
-    /** What has happened to a message. */
-    private void record(AcceptedMessage held, byte[] record) {
-        record(record);
-        count(held, record.length);
+    /** Records what has happened to a message: a record that can't be written now is deferred. */
+    private void appendOrDefer(AcceptedMessage message, byte[] record) {
+        appendOrDefer(record);
+        countBytes(message, record.length);
     }
 
-    private void record(byte[] record) {
+    private void appendOrDefer(byte[] record) {
         try {
             append(record);
         } catch (IOException e) {
@@ -360,6 +387,7 @@
         }
     }
 
+    /** Throws while another process may own the file; replaces the file if another process may have written it. */
     private void prepareToWrite() throws IOException {
         if (paused) {
             throw new IOException("another process may own the journal");
@@ -369,34 +397,35 @@
         }
     }
 
-    /** Compacts the file where otherwise this record would leave no room for a compacted copy beside it. */
+    /** Compacts the file if a record of this length would leave no room for a compacted copy beside it. */
     private void makeRoom(int recordLength) throws IOException {
-        if (file.size() + file.unwrittenBytes() + compactedBytes() + 2L * recordLength > bound) {
+        if (file.size() + file.unwrittenBytes() + compactedBytes() + 2L * recordLength > maxBytes) {
             compact();
         }
     }
 
-    /** What a compacted copy takes up. */
+    /** Returns the length of a compacted copy. */
     private long compactedBytes() {
         return headerBytes + withdrawn.bytes() + finished.bytes() + liveBytes;
     }
 
+    /** Replaces the file by a copy with only the live records. */
     private void compact() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) compactedBytes());
         bytes.write(header());
         for (String endpoint : withdrawn.ids()) {
             bytes.write(JournalRecord.withdrawn(endpoint, true));
         }
-        for (AcceptedMessage held : live.values()) {
-            bytes.write(JournalRecord.accepted(held));
-            for (AcceptedMessage.Attempt attempt : held.attempts.subList(0, held.recorded)) {
-                bytes.write(JournalRecord.attempt(held, attempt, !attempt.neverRan));
+        for (AcceptedMessage message : liveMessages.values()) {
+            bytes.write(JournalRecord.accepted(message));
+            for (AcceptedMessage.Attempt attempt : message.attempts.subList(0, message.recorded)) {
+                bytes.write(JournalRecord.attempt(message, attempt, !attempt.neverRan));
             }
-            if (held.owed.isPresent()) {
-                bytes.write(JournalRecord.owed(held, held.owed.get()));
+            if (message.owed.isPresent()) {
+                bytes.write(JournalRecord.owed(message, message.owed.get()));
             }
         }
-        // Behind the notices, which alone don't tell whether their messages were delivered.
+        // After the notices, which alone don't tell whether their messages were delivered.
         for (FinishedMessage message : finished.unexpired(clock.nowMs())) {
             bytes.write(JournalRecord.finished(message));
         }
@@ -407,27 +436,29 @@
 
     // ---- reading ----
 
-    /** Reads up to the first record that is not whole; returns where it begins. */
+    /** Applies all records up to the first incomplete one; returns the position of that one, or the end. */
     private long replay(byte[] bytes) {
-        int at = 0;
-        while (bytes.length - at >= JournalRecord.HEAD) {
-            ByteBuffer head = ByteBuffer.wrap(bytes, at, JournalRecord.HEAD);
-            int length = head.getInt();
-            long checksum = head.getLong();
-            if (length < 1 || length > LONGEST || length > bytes.length - at - JournalRecord.HEAD
-                    || JournalRecord.checksum(bytes, at + JournalRecord.HEAD, length) != checksum) {
+        int position = 0;
+        while (bytes.length - position >= JournalRecord.PREFIX_BYTES) {
+            ByteBuffer prefix = ByteBuffer.wrap(bytes, position, JournalRecord.PREFIX_BYTES);
+            int length = prefix.getInt();
+            long checksum = prefix.getLong();
+            if (length < 1 || length > MAX_RECORD_BYTES || length > bytes.length - position - JournalRecord.PREFIX_BYTES
+                    || JournalRecord.checksum(bytes, position + JournalRecord.PREFIX_BYTES, length) != checksum) {
                 break;
             }
             try {
-                apply(new DataInputStream(new ByteArrayInputStream(bytes, at + JournalRecord.HEAD, length)),
-                        JournalRecord.HEAD + length);
+                apply(new DataInputStream(
+                        new ByteArrayInputStream(bytes, position + JournalRecord.PREFIX_BYTES, length)),
+                        JournalRecord.PREFIX_BYTES + length);
             } catch (IOException | RuntimeException e) {
-                // It is whole, so it is not torn: another version's, or a fault of one. Those behind it count.
+                // The checksum matches, so the record is not torn: another version wrote it, or a faulty one. The
+                // records after it still count.
                 Log.line("a record of the journal is passed over: " + e.getMessage());
             }
-            at += JournalRecord.HEAD + length;
+            position += JournalRecord.PREFIX_BYTES + length;
         }
-        return at;
+        return position;
     }
 
     private void apply(DataInputStream in, int length) throws IOException {
@@ -438,19 +469,19 @@
             return;
         }
         if (type == JournalRecord.CLOCK) {
-            earlierBase = Optional.of(new SteadyClock.Base(in.readUTF(), in.readLong(), in.readLong()));
+            recordedClockBase = Optional.of(new SteadyClock.Base(in.readUTF(), in.readLong(), in.readLong()));
             return;
         }
         if (type == JournalRecord.WITHDRAWN) {
             withdrawn.set(in.readUTF(), in.readBoolean());
             return;
         }
-        if (type == JournalRecord.DRAINED || type == JournalRecord.MAINTAINED) {
-            applyOrder(type, in);
+        if (type == JournalRecord.DRAINED || type == JournalRecord.IN_MAINTENANCE) {
+            applyOperatorOrder(type, in);
             return;
         }
         firstUnusedNumber = Math.max(firstUnusedNumber, number + 1);
-        if (type == JournalRecord.TAKEN) {
+        if (type == JournalRecord.ACCEPTED) {
             String id = in.readUTF();
             String messageClass = in.readUTF();
             String tenant = in.readUTF();
@@ -459,42 +490,42 @@
             long destination = in.readLong();
             long deadlineMs = in.readLong();
             byte[] body = in.readNBytes(in.readInt());
-            // The thread came last and later: records of before end with the body.
-            Optional<String> thread = in.available() == 0 ? Optional.empty()
-                    : Optional.of(in.readUTF()).filter(t -> !t.isEmpty());
-            AcceptedMessage held =
+            // The ordering key was added later, as the last part: older records end with the body.
+            Optional<String> orderingKey = in.available() == 0 ? Optional.empty()
+                    : Optional.of(in.readUTF()).filter(text -> !text.isEmpty());
+            AcceptedMessage message =
                     new AcceptedMessage(number, id, messageClass, tenant, keyed ? Optional.of(key) : Optional.empty(),
-                            thread, destination, deadlineMs, body);
-            live.put(number, held);
-            count(held, length);
+                            orderingKey, destination, deadlineMs, body);
+            liveMessages.put(number, message);
+            countBytes(message, length);
             return;
         }
-        AcceptedMessage held = live.get(number);
-        if (held == null) {
+        AcceptedMessage message = liveMessages.get(number);
+        if (message == null) {
             return;
         }
         switch (type) {
-            case JournalRecord.ATTEMPT, JournalRecord.UNBEGUN -> {
+            case JournalRecord.STARTED_ATTEMPT, JournalRecord.UNSTARTED_ATTEMPT -> {
                 AcceptedMessage.Attempt attempt = new AcceptedMessage.Attempt(in.readUTF(), in.readLong());
-                attempt.neverRan = type == JournalRecord.UNBEGUN;
-                held.attempts.add(attempt);
-                held.recorded++;
+                attempt.neverRan = type == JournalRecord.UNSTARTED_ATTEMPT;
+                message.attempts.add(attempt);
+                message.recorded++;
             }
-            case JournalRecord.BEGUN, JournalRecord.NEVER_RAN ->
-                    held.attempts.get(in.readInt()).neverRan = type == JournalRecord.NEVER_RAN;
-            case JournalRecord.OWED -> {
-                held.owed = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
-                held.over = true;
-                keepUnexpired(FinishedMessage.noticed(held, held.owed.get()));
+            case JournalRecord.ATTEMPT_STARTED, JournalRecord.NEVER_RAN ->
+                    message.attempts.get(in.readInt()).neverRan = type == JournalRecord.NEVER_RAN;
+            case JournalRecord.NOTICE_OWED -> {
+                message.owed = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
+                message.over = true;
+                addFinishedBeforeClock(FinishedMessage.noticed(message, message.owed.get()));
             }
             case JournalRecord.ENDED -> {
-                live.remove(number);
-                liveBytes -= held.bytes;
+                liveMessages.remove(number);
+                liveBytes -= message.bytes;
                 return;
             }
-            default -> throw new IOException("unknown record " + type);
+            default -> throw new IOException("unknown record type " + type);
         }
-        count(held, length);
+        countBytes(message, length);
     }
 
     private void applyFinished(DataInputStream in) throws IOException {
@@ -502,17 +533,17 @@
         int result = in.readByte();
         FinishedMessage.Result[] results = FinishedMessage.Result.values();
         if (result < 0 || result >= results.length) {
-            throw new IOException("unknown end " + result);
+            throw new IOException("unknown result " + result);
         }
-        keepUnexpired(new FinishedMessage(id, results[result], in.readDouble(), in.readLong()));
+        addFinishedBeforeClock(new FinishedMessage(id, results[result], in.readDouble(), in.readLong()));
     }
 
-    /** While records are read the clock is not known yet: what has expired is forgotten after. */
-    private void keepUnexpired(FinishedMessage message) {
+    /** Adds an ended message while records are read; the clock isn't known then, so expired ones are removed later. */
+    private void addFinishedBeforeClock(FinishedMessage message) {
         finished.add(message, JournalRecord.finished(message).length, Long.MIN_VALUE);
     }
 
-    private void applyOrder(int type, DataInputStream in) throws IOException {
+    private void applyOperatorOrder(int type, DataInputStream in) throws IOException {
         if (type == JournalRecord.DRAINED) {
             drained = in.readBoolean();
             return;
@@ -525,8 +556,9 @@
         }
     }
 
-    private void count(AcceptedMessage held, int length) {
-        held.bytes += length;
+    /** Adds the length of a record to the bytes of its message and of all live records. */
+    private void countBytes(AcceptedMessage message, int length) {
+        message.bytes += length;
         liveBytes += length;
     }
 }
--- a/src/main/java/starlingvalve/net/JournalFile.java
+++ b/src/main/java/starlingvalve/net/JournalFile.java
@@ -14,45 +14,45 @@
 import java.util.Optional;
 
 /**
- * The bytes of the journal: a file that is appended to, and now and then replaced by a shorter copy, on a disk that may
- * refuse writes for a while.
+ * The file of the journal. Bytes are appended to it, and from time to time a shorter copy replaces it. Writes to the
+ * disk may fail for a while.
  *
- * <p>{@link #append} throws if its bytes could not be written. If they stand for something that has happened already,
- * {@link #defer} keeps them, and they are written before anything else once the disk takes writes again. So the file
- * always holds a prefix of what happened. A write that failed half way leaves no bytes behind which later ones would be
- * lost: they are cut off first.
+ * <p>{@link #append} throws if its bytes could not be written. If these bytes record something that has happened
+ * already, {@link #defer} keeps them, and they are written before any others once writes succeed again. So the file
+ * always holds a prefix of what has happened. A write that fails half way leaves a torn record, which would hide all
+ * records after it: it is cut off before anything else is written.
  */
 final class JournalFile implements AutoCloseable {
-    /** The system calls that may fail; tests put their own in place. */
+    /** The system calls that may fail; tests replace them. */
     interface Disk {
-        /** The disk as it is. */
+        /** The real disk. */
         Disk REAL = new Disk() {
         };
 
-        /** Writes at a position, perhaps only part of what is left; returns how much. */
+        /** Writes at a position, possibly only some of the remaining bytes; returns how many. */
         default int write(FileChannel to, ByteBuffer bytes, long position) throws IOException {
             return to.write(bytes, position);
         }
 
-        /** Cuts off what is behind this length. */
+        /** Cuts off all bytes after this length. */
         default void truncate(FileChannel file, long length) throws IOException {
             file.truncate(length);
         }
     }
 
     private final Path file;
-    private final Path next;
+    private final Path nextFile;
     private final Disk disk;
     private final Deque<byte[]> unwritten = new ArrayDeque<>();
     private FileChannel channel;
     private long size;
-    /** Bytes of a write that failed may stand behind the end. */
-    private boolean tornTail;
-    private Optional<Object> keyAtClose = Optional.empty();
+    /** Whether bytes of a failed write may follow the valid end of the file, {@link #size}. */
+    private boolean hasTornTail;
+    private Optional<Object> fileKeyAtClose = Optional.empty();
 
-    JournalFile(Path file, Path next, Disk disk) throws IOException {
+    JournalFile(Path file, Path nextFile, Disk disk) throws IOException {
         this.file = file;
-        this.next = next;
+        this.nextFile = nextFile;
         this.disk = disk;
         deleteNext();
         channel = open();
@@ -62,43 +62,43 @@
         return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** A copy that the process did not live to finish still takes up room. */
+    /** Deletes a copy that an earlier process or a failed {@link #replace} left unfinished: it takes up disk space. */
     private void deleteNext() {
         try {
-            Files.deleteIfExists(next);
+            Files.deleteIfExists(nextFile);
         } catch (IOException e) {
-            Log.line("an unfinished copy of the journal is left: " + e.getMessage());
+            Log.line("an unfinished copy of the journal can't be deleted: " + e.getMessage());
         }
     }
 
-    /** All bytes of the file, also behind its end. */
+    /** Returns all bytes of the file, also those after its valid end. */
     byte[] read() throws IOException {
         return Files.readAllBytes(file);
     }
 
-    /** The file ends here: whatever is behind belongs to a record that was not written whole. */
+    /** Sets the valid end of the file and cuts off the bytes after it, which belong to a partly written record. */
     void truncateTo(long length) {
         size = length;
-        cutTail();
+        truncateTail();
     }
 
-    /** Bytes up to the end. */
+    /** Returns the length of the file up to its valid end. */
     long size() {
         return size;
     }
 
-    /** Bytes that have happened and are not in the file yet. */
+    /** Returns the number of deferred bytes, which are not in the file yet. */
     long unwrittenBytes() {
         return unwritten.stream().mapToLong(bytes -> bytes.length).sum();
     }
 
-    /** Writes what is about to happen, behind all that has; throws if it could not, and then none of it counts. */
+    /** Writes bytes after all deferred ones; if this throws, none of {@code bytes} are in the file. */
     void append(byte[] bytes) throws IOException {
         writeDeferred();
         write(bytes);
     }
 
-    /** Keeps what has happened and could not be written, until it can. */
+    /** Keeps bytes that record what has happened and that could not be written, until they can be. */
     void defer(byte[] bytes, IOException cause) {
         if (unwritten.isEmpty()) {
             Log.line("the journal can't be written, what happens is kept until it can: " + cause.getMessage());
@@ -106,61 +106,64 @@
         unwritten.add(bytes);
     }
 
-    /** The same for records that another process could not write, which may be none. */
+    /** Keeps bytes that another process could not write, possibly none, until they can be written. */
     void defer(byte[] bytes) {
         if (bytes.length > 0) {
             unwritten.add(bytes);
         }
     }
 
-    /** All that has happened and is not in the file. */
+    /** Returns all deferred bytes. */
     byte[] unwritten() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         unwritten.forEach(bytes::writeBytes);
         return bytes.toByteArray();
     }
 
-    /** Writes what could not be written before; throws if some of it still can't. */
+    /** Cuts off a torn record and writes the deferred bytes; throws if some of them still can't be written. */
     void writeDeferred() throws IOException {
-        if (tornTail) {
+        if (hasTornTail) {
             disk.truncate(channel, size);
-            tornTail = false;
+            hasTornTail = false;
         }
-        boolean behind = !unwritten.isEmpty();
+        boolean hadUnwritten = !unwritten.isEmpty();
         while (!unwritten.isEmpty()) {
             write(unwritten.peek());
             unwritten.remove();
         }
-        if (behind) {
+        if (hadUnwritten) {
             Log.line("the journal is written again, and holds all that has happened");
         }
     }
 
-    /** The file has these bytes from now on, which stand for all that has happened; or throws, and is as before. */
+    /**
+     * Replaces the file by one with these bytes, which must cover the deferred ones too. If this throws, the file is as
+     * before.
+     */
     void replace(byte[] bytes) throws IOException {
-        FileChannel fresh = FileChannel.open(next, StandardOpenOption.CREATE,
+        FileChannel nextChannel = FileChannel.open(nextFile, StandardOpenOption.CREATE,
                 StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
         try {
-            writeAll(fresh, bytes, 0);
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+            writeAll(nextChannel, bytes, 0);
+            Files.move(nextFile, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            fresh.close();
+            nextChannel.close();
             deleteNext();
             throw e;
         }
-        FileChannel replaced = channel;
-        channel = fresh;
+        FileChannel oldChannel = channel;
+        channel = nextChannel;
         size = bytes.length;
-        tornTail = false;
+        hasTornTail = false;
         unwritten.clear();
-        close(replaced);
+        close(oldChannel);
     }
 
     private void write(byte[] bytes) throws IOException {
         try {
             writeAll(channel, bytes, size);
         } catch (IOException e) {
-            cutTail();
+            truncateTail();
             throw e;
         }
         size += bytes.length;
@@ -173,27 +176,30 @@
         }
     }
 
-    private void cutTail() {
-        tornTail = true;
+    private void truncateTail() {
+        hasTornTail = true;
         try {
             disk.truncate(channel, size);
-            tornTail = false;
+            hasTornTail = false;
         } catch (IOException e) {
-            Log.line("a record that was written in part can't be cut off yet: " + e.getMessage());
+            Log.line("a partly written record can't be cut off yet: " + e.getMessage());
         }
     }
 
-    /** Lets go of the file. */
+    /** Closes the file, and remembers its identity for {@link #reopenUnchanged}. */
     @Override
     public void close() {
-        keyAtClose = fileKey();
+        fileKeyAtClose = fileKey();
         close(channel);
     }
 
-    /** Takes the file up again after {@link #close}; false if another process has written it, or that can't be known. */
+    /**
+     * Opens the file again after {@link #close}; returns false, and leaves it closed, if another process has written it
+     * or this can't be ruled out.
+     */
     boolean reopenUnchanged() {
         try {
-            boolean unchanged = !tornTail && keyAtClose.isPresent() && keyAtClose.equals(fileKey())
+            boolean unchanged = !hasTornTail && fileKeyAtClose.isPresent() && fileKeyAtClose.equals(fileKey())
                     && Files.size(file) == size;
             if (unchanged) {
                 channel = open();
@@ -204,7 +210,7 @@
         }
     }
 
-    /** Tells a file from another one that has taken its place. */
+    /** Returns what distinguishes the file from another one that has replaced it. */
     private Optional<Object> fileKey() {
         try {
             return Optional.ofNullable(Files.readAttributes(file, BasicFileAttributes.class).fileKey());
@@ -217,7 +223,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            Log.line("closing the journal: " + e.getMessage());
+            Log.line("the journal can't be closed: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/starlingvalve/net/JournalRecord.java
+++ b/src/main/java/starlingvalve/net/JournalRecord.java
@@ -8,80 +8,89 @@
 import java.util.zip.CRC32;
 
 /**
- * The records of the journal as bytes: length and checksum, then a type, the number of a message (0 where there is
- * none) and what the type needs.
+ * Encodes the records of the journal. A record consists of its length and checksum, then the type, the number of the
+ * message (0 for a record of no message) and the parts that the type needs.
  */
 final class JournalRecord {
-    static final int TAKEN = 1;
-    static final int ATTEMPT = 2;
+    /** A message was accepted. */
+    static final int ACCEPTED = 1;
+    /** An attempt was started, so it may have run. */
+    static final int STARTED_ATTEMPT = 2;
+    /** An attempt that has a record already never ran. */
     static final int NEVER_RAN = 3;
-    static final int OWED = 4;
+    /** A message has ended with a notice, which is not acknowledged yet. */
+    static final int NOTICE_OWED = 4;
+    /** A message needs nothing more. */
     static final int ENDED = 5;
+    /** Operators drain this sender, or end the drain. */
     static final int DRAINED = 6;
-    static final int MAINTAINED = 7;
-    /** An attempt that never ran, unless it has begun since. */
-    static final int UNBEGUN = 8;
-    static final int BEGUN = 9;
-    /** How a message has ended, beside ENDED: versions that don't know it pass it over. */
+    /** Operators put an endpoint in maintenance, or back in service. */
+    static final int IN_MAINTENANCE = 7;
+    /** An attempt that has not started: it never ran, unless {@link #ATTEMPT_STARTED} follows. */
+    static final int UNSTARTED_ATTEMPT = 8;
+    /** An attempt with a record as not started has started since, so it may have run. */
+    static final int ATTEMPT_STARTED = 9;
+    /** How a message has ended, in addition to {@link #ENDED}; versions that don't know this type skip it. */
     static final int FINISHED = 10;
-    /** The zero of the clock by which all times of the records are kept; versions that don't know it pass it over. */
+    /** The base of the clock of all times in the records; versions that don't know this type skip it. */
     static final int CLOCK = 11;
-    /** An endpoint takes no new work, or does again; versions that don't know it pass it over. */
+    /** An endpoint takes no new work, or does so again; versions that don't know this type skip it. */
     static final int WITHDRAWN = 12;
-    /** Length and checksum. */
-    static final int HEAD = 12;
-    private static final int USUAL_LENGTH = 128;
+    /** Bytes before each record's type: the length (an int) and the checksum (a long). */
+    static final int PREFIX_BYTES = 12;
+    private static final int INITIAL_BUFFER_BYTES = 128;
 
-    private interface Body {
+    /** Writes the parts of a record that depend on its type. */
+    private interface BodyWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
     private JournalRecord() {
     }
 
-    static long checksum(byte[] bytes, int from, int length) {
+    static long checksum(byte[] bytes, int offset, int length) {
         CRC32 crc = new CRC32();
-        crc.update(bytes, from, length);
+        crc.update(bytes, offset, length);
         return crc.getValue();
     }
 
-    static byte[] accepted(AcceptedMessage held) {
-        return record(TAKEN, held.number, out -> {
-            out.writeUTF(held.id);
-            out.writeUTF(held.messageClass);
-            out.writeUTF(held.tenant);
-            out.writeBoolean(held.key.isPresent());
-            out.writeUTF(held.key.orElse(""));
-            out.writeLong(held.destination);
-            out.writeLong(held.deadlineMs);
-            out.writeInt(held.body.length);
-            out.write(held.body);
-            out.writeUTF(held.thread.orElse(""));
+    static byte[] accepted(AcceptedMessage message) {
+        return record(ACCEPTED, message.number, out -> {
+            out.writeUTF(message.id);
+            out.writeUTF(message.messageClass);
+            out.writeUTF(message.tenant);
+            out.writeBoolean(message.key.isPresent());
+            out.writeUTF(message.key.orElse(""));
+            out.writeLong(message.destination);
+            out.writeLong(message.deadlineMs);
+            out.writeInt(message.body.length);
+            out.write(message.body);
+            out.writeUTF(message.thread.orElse(""));
         });
     }
 
-    /** An attempt, as one that has begun or not. */
-    static byte[] attempt(AcceptedMessage held, AcceptedMessage.Attempt attempt, boolean begun) {
-        return record(begun ? ATTEMPT : UNBEGUN, held.number, out -> {
+    /** Encodes an attempt, as started or not started. */
+    static byte[] attempt(AcceptedMessage message, AcceptedMessage.Attempt attempt, boolean started) {
+        return record(started ? STARTED_ATTEMPT : UNSTARTED_ATTEMPT, message.number, out -> {
             out.writeUTF(attempt.endpoint);
             out.writeLong(attempt.sentAtMs);
         });
     }
 
-    /** What became of an attempt that has a record. */
-    static byte[] mark(int type, AcceptedMessage held, int attempt) {
-        return record(type, held.number, out -> out.writeInt(attempt));
+    /** Encodes what became of an attempt that has a record; {@code attempt} is its index. */
+    static byte[] attemptMark(int type, AcceptedMessage message, int attempt) {
+        return record(type, message.number, out -> out.writeInt(attempt));
     }
 
-    static byte[] owed(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        return record(OWED, held.number, out -> {
+    static byte[] owed(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        return record(NOTICE_OWED, message.number, out -> {
             out.writeBoolean(notice.bounced());
             out.writeDouble(notice.waitMs());
         });
     }
 
-    static byte[] ended(AcceptedMessage held) {
-        return record(ENDED, held.number, out -> { });
+    static byte[] ended(AcceptedMessage message) {
+        return record(ENDED, message.number, out -> { });
     }
 
     static byte[] finished(FinishedMessage message) {
@@ -106,7 +115,7 @@
     }
 
     static byte[] inMaintenance(String endpoint, boolean on) {
-        return endpointMark(MAINTAINED, endpoint, on);
+        return endpointMark(IN_MAINTENANCE, endpoint, on);
     }
 
     static byte[] withdrawn(String endpoint, boolean on) {
@@ -120,18 +129,18 @@
         });
     }
 
-    private static byte[] record(int type, long number, Body body) {
+    private static byte[] record(int type, long number, BodyWriter bodyWriter) {
         try {
-            ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_LENGTH);
+            ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
             DataOutputStream out = new DataOutputStream(bytes);
             out.writeInt(0);
             out.writeLong(0);
             out.writeByte(type);
             out.writeLong(number);
-            body.write(out);
+            bodyWriter.write(out);
             byte[] record = bytes.toByteArray();
-            ByteBuffer.wrap(record).putInt(record.length - HEAD)
-                    .putLong(checksum(record, HEAD, record.length - HEAD));
+            ByteBuffer.wrap(record).putInt(record.length - PREFIX_BYTES)
+                    .putLong(checksum(record, PREFIX_BYTES, record.length - PREFIX_BYTES));
             return record;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/starlingvalve/net/StateLock.java
+++ b/src/main/java/starlingvalve/net/StateLock.java
@@ -9,8 +9,9 @@
 import java.util.Optional;
 
 /**
- * The token of who owns the journal, and with it the module: a lock on an empty file beside it, which the system
- * drops however the process ends. The journal itself can't carry it, as a compacted copy takes its place.
+ * The lock that the owner of the journal, and with it of the delivery policy's state, holds. It is a file lock on an
+ * empty file beside the journal, which the operating system releases however the process ends. The journal itself can't
+ * be locked, since a compacted copy replaces it.
  */
 final class StateLock implements AutoCloseable {
     private final FileChannel channel;
@@ -19,7 +20,7 @@
         this.channel = channel;
     }
 
-    /** Takes the lock, or nothing if another process has it. */
+    /** Takes the lock; returns nothing if another owner has it, in this process or another one. */
     static Optional<StateLock> take(Path folder) throws IOException {
         FileChannel channel = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
@@ -28,8 +29,8 @@
             if (lock != null) {
                 return Optional.of(new StateLock(channel));
             }
-        } catch (OverlappingFileLockException heldHere) {
-            // Another owner in this process is another owner all the same.
+        } catch (OverlappingFileLockException heldInThisProcess) {
+            // An owner in this process counts like one in another process.
         } catch (IOException e) {
             channel.close();
             throw e;
@@ -38,13 +39,13 @@
         return Optional.empty();
     }
 
-    /** Lets go of it. */
+    /** Releases the lock. */
     @Override
     public void close() {
         try {
             channel.close();
         } catch (IOException e) {
-            Log.line("letting go of the lock: " + e.getMessage());
+            Log.line("the lock of the state folder can't be released: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/starlingvalve/net/TimeSource.java
+++ b/src/main/java/starlingvalve/net/TimeSource.java
@@ -5,9 +5,9 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** The clocks of the machine. */
+/** The machine's clocks; tests replace them. */
 interface TimeSource {
-    /** The clocks as they are. */
+    /** The real clocks. */
     TimeSource SYSTEM = new TimeSource() {
         private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
 
@@ -31,12 +31,12 @@
         }
     };
 
-    /** Milliseconds since 1970; may be stepped at any moment, forward or back. */
+    /** Returns the wall clock in milliseconds since 1970; it may be stepped at any moment, forward or back. */
     long wallMs();
 
-    /** Milliseconds since some moment that all processes of one boot share; never goes back. */
+    /** Returns milliseconds since a fixed moment that all processes of one boot share; never goes back. */
     long monotonicMs();
 
-    /** Names the boot of the machine. */
+    /** Returns the id of the machine's current boot, or a constant if it can't be read. */
     String bootId();
 }
