--- a/src/test/java/starlingvalve/net/FailingDisk.java
+++ b/src/test/java/starlingvalve/net/FailingDisk.java
@@ -4,29 +4,29 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 
-/** A disk that fails as a test says. */
+/** A disk whose writes and truncations fail as the test sets. */
 final class FailingDisk implements JournalFile.Disk {
-    /** Bytes that writes still take; the one that takes more writes so many of them, and fails. */
+    /** Bytes that can still be written: a write of more than that writes so many of its bytes and then fails. */
     long writableBytes = Long.MAX_VALUE;
     boolean truncateSucceeds = true;
 
-    /** All works again. */
+    /** Lets all writes and truncations succeed again. */
     void repair() {
         writableBytes = Long.MAX_VALUE;
         truncateSucceeds = true;
     }
 
     @Override
-    public int write(FileChannel to, ByteBuffer bytes, long position) throws IOException {
+    public int write(FileChannel channel, ByteBuffer bytes, long position) throws IOException {
         if (bytes.remaining() <= writableBytes) {
             writableBytes -= bytes.remaining();
-            return to.write(bytes, position);
+            return channel.write(bytes, position);
         }
         ByteBuffer part = bytes.duplicate();
         part.limit(part.position() + (int) writableBytes);
         writableBytes = 0;
         while (part.hasRemaining()) {
-            to.write(part, position + part.position() - bytes.position());
+            channel.write(part, position + part.position() - bytes.position());
         }
         throw new IOException("No space left on device");
     }
--- a/src/test/java/starlingvalve/net/JournalClockTest.java
+++ b/src/test/java/starlingvalve/net/JournalClockTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How much time is left in a later process, whatever becomes of the wall clock between the two. */
+/** The time that is left to a message after a restart doesn't depend on steps of the wall clock. */
 class JournalClockTest {
     private static final long HOUR_MS = TimeUnit.HOURS.toMillis(1);
     private static final long LEFT_MS = 20_000;
@@ -19,13 +19,13 @@
     private Path folder;
     private final Clocks clocks = new Clocks();
 
-    /** Clocks that a test moves. */
+    /** Clocks that the test sets. */
     private static final class Clocks implements TimeSource {
         private long wallMs = 1_700_000_000_000L;
         private long monotonicMs = 5_000_000;
         private String bootId = "first";
 
-        void pass(long ms) {
+        void advance(long ms) {
             wallMs += ms;
             monotonicMs += ms;
         }
@@ -50,20 +50,20 @@
         return new Journal(folder, 200_000, 12, JournalFile.Disk.REAL, clocks);
     }
 
-    /** A first process takes a message, and another one that is delivered. */
-    private void firstLife() throws IOException {
+    /** Writes the journal of a first process: one open message, and one that was delivered. */
+    private void firstProcessRun() throws IOException {
         try (Journal journal = open()) {
-            take(journal, "held");
-            journal.ended(take(journal, "delivered"), FinishedMessage.Result.DELIVERED);
+            accept(journal, "held");
+            journal.ended(accept(journal, "delivered"), FinishedMessage.Result.DELIVERED);
         }
     }
 
-    private static AcceptedMessage take(Journal journal, String id) throws IOException {
-        AcceptedMessage held =
+    private static AcceptedMessage accept(Journal journal, String id) throws IOException {
+        AcceptedMessage message =
                 new AcceptedMessage(journal.nextNumber(), id, "order", "desk", Optional.of("key"), Optional.empty(), 7,
                         journal.clock().nowMs() + LEFT_MS, new byte[10]);
-        journal.accepted(held);
-        return held;
+        journal.accepted(message);
+        return message;
     }
 
     private static long leftMs(Journal journal) {
@@ -71,33 +71,33 @@
     }
 
     @Test
-    void aStepOfTheWallClockMovesNothing() throws Exception {
-        firstLife();
-        for (long step : new long[] {HOUR_MS, -2 * HOUR_MS, 3000, HOUR_MS}) {
-            clocks.wallMs += step;
-            clocks.pass(1000);
+    void wallClockStepsDoNotChangeTheTimeLeft() throws Exception {
+        firstProcessRun();
+        for (long stepMs : new long[] {HOUR_MS, -2 * HOUR_MS, 3000, HOUR_MS}) {
+            clocks.wallMs += stepMs;
+            clocks.advance(1000);
             try (Journal journal = open()) {
-                long passed = clocks.monotonicMs - 5_000_000;
-                assertEquals(LEFT_MS - passed, leftMs(journal));
-                clocks.wallMs += step;
-                assertEquals(LEFT_MS - passed, leftMs(journal), "a step while it runs");
+                long elapsedMs = clocks.monotonicMs - 5_000_000;
+                assertEquals(LEFT_MS - elapsedMs, leftMs(journal));
+                clocks.wallMs += stepMs;
+                assertEquals(LEFT_MS - elapsedMs, leftMs(journal), "a step while the process runs");
                 assertTrue(journal.finished("delivered").isPresent());
             }
         }
-        clocks.pass(LEFT_MS + FinishedMessage.REPEAT_GRACE_MS);
+        clocks.advance(LEFT_MS + FinishedMessage.REPEAT_GRACE_MS);
         try (Journal journal = open()) {
-            assertTrue(journal.finished("delivered").isEmpty(), "its time is over");
+            assertTrue(journal.finished("delivered").isEmpty(), "the result has expired");
         }
     }
 
     @Test
-    void theBaseOfTheClockOutlastsCompaction() throws Exception {
-        firstLife();
+    void clockBaseSurvivesCompaction() throws Exception {
+        firstProcessRun();
         clocks.wallMs += HOUR_MS;
         try (Journal journal = open()) {
             for (long size = 0; journal.size() >= size;) {
                 size = journal.size();
-                journal.ended(take(journal, "filler" + size));
+                journal.ended(accept(journal, "filler" + size));
             }
         }
         clocks.wallMs -= 3 * HOUR_MS;
@@ -107,8 +107,8 @@
     }
 
     @Test
-    void afterAnotherBootTheWallClockCounts() throws Exception {
-        firstLife();
+    void wallClockIsUsedAfterAnotherBoot() throws Exception {
+        firstProcessRun();
         clocks.bootId = "second";
         clocks.monotonicMs = 9_000_000;
         clocks.wallMs += 7000;
@@ -117,10 +117,10 @@
         }
     }
 
-    /** Where the boots can't be told apart, a monotonic clock that is behind its base is another boot's. */
+    /** Even under the same boot id, a monotonic clock that is behind the recorded base belongs to another boot. */
     @Test
-    void aMonotonicClockThatBeganAnewIsAnotherBoots() throws Exception {
-        firstLife();
+    void monotonicClockBehindTheBaseMeansAnotherBoot() throws Exception {
+        firstProcessRun();
         clocks.monotonicMs = 100;
         clocks.wallMs += 7000;
         try (Journal journal = open()) {
--- a/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
+++ b/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the journal holds after its disk has refused writes for a while, or has taken part of one. */
+/** What the journal holds after writes to its disk have failed for a while, or one has been partial. */
 class JournalDiskFailureTest {
     private static final long DISK_BYTES = 200_000;
-    private static final long DEADLINE = System.currentTimeMillis() + 3_600_000;
+    private static final long DEADLINE_MS = System.currentTimeMillis() + 3_600_000;
 
     @TempDir
     private Path folder;
@@ -28,70 +28,71 @@
         return new Journal(folder, DISK_BYTES, 12, disk, TimeSource.SYSTEM);
     }
 
-    private static AcceptedMessage take(Journal journal, int body) throws IOException {
+    private static AcceptedMessage accept(Journal journal, int bodyBytes) throws IOException {
         long number = journal.nextNumber();
-        AcceptedMessage held = new AcceptedMessage(number, "id-" + number, "order", "desk", Optional.of("key"),
-                Optional.empty(), 7, DEADLINE, new byte[body]);
-        journal.accepted(held);
-        return held;
+        AcceptedMessage message = new AcceptedMessage(number, "id-" + number, "order", "desk", Optional.of("key"),
+                Optional.empty(), 7, DEADLINE_MS, new byte[bodyBytes]);
+        journal.accepted(message);
+        return message;
     }
 
     private static List<String> ids(Journal journal) {
-        return journal.held().stream().map(held -> held.id).toList();
+        return journal.held().stream().map(message -> message.id).toList();
     }
 
     @Test
-    void endsThatTheDiskDidNotTakeAreWrittenOnceItDoes() throws Exception {
+    void deferredEndsAreWrittenOnceTheDiskWorksAgain() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage delivered = take(journal, 10);
-            AcceptedMessage handedBack = take(journal, 10);
+            AcceptedMessage delivered = accept(journal, 10);
+            AcceptedMessage returned = accept(journal, 10);
             disk.writableBytes = 0;
             journal.ended(delivered, FinishedMessage.Result.DELIVERED);
-            journal.owed(handedBack, new AcceptedMessage.Notice(true, 500));
+            journal.owed(returned, new AcceptedMessage.Notice(true, 500));
             assertFalse(journal.writeDeferred(), "the disk still fails");
             disk.repair();
             assertTrue(journal.writeDeferred());
         }
         try (Journal journal = open()) {
             assertEquals(List.of("id-1"), ids(journal));
-            assertTrue(journal.held().iterator().next().over, "its notice is owed, and nothing else");
+            assertTrue(journal.held().iterator().next().over, "only its notice is still due");
             assertEquals(FinishedMessage.Result.DELIVERED, journal.finished("id-0").orElseThrow().result());
             assertEquals(FinishedMessage.Result.REFUSED, journal.finished("id-1").orElseThrow().result());
         }
     }
 
     @Test
-    void nothingIsWrittenBeforeWhatHappenedEarlier() throws Exception {
+    void deferredRecordsAreWrittenBeforeNewOnes() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage held = take(journal, 10);
-            held.attempts.add(new AcceptedMessage.Attempt("s-0", 1));
+            AcceptedMessage message = accept(journal, 10);
+            message.attempts.add(new AcceptedMessage.Attempt("s-0", 1));
             disk.writableBytes = 0;
-            journal.neverRan(held, 0);
-            assertThrows(IOException.class, () -> take(journal, 10), "it can't be recorded, so it is refused");
-            held.attempts.add(new AcceptedMessage.Attempt("s-1", 2));
-            assertThrows(IOException.class, () -> journal.begins(held, 1), "nor may it be sent");
+            journal.neverRan(message, 0);
+            assertThrows(IOException.class, () -> accept(journal, 10), "a message that can't be recorded is rejected");
+            message.attempts.add(new AcceptedMessage.Attempt("s-1", 2));
+            assertThrows(IOException.class, () -> journal.begins(message, 1),
+                    "an attempt that can't be recorded is not made");
             disk.repair();
-            journal.begins(held, 1);
+            journal.begins(message, 1);
         }
         try (Journal journal = open()) {
-            AcceptedMessage held = journal.held().iterator().next();
-            assertEquals(List.of("s-0", "s-1"), held.attempts.stream().map(a -> a.endpoint).toList());
-            assertEquals(List.of(true, false), held.attempts.stream().map(a -> a.neverRan).toList());
+            AcceptedMessage message = journal.held().iterator().next();
+            assertEquals(List.of("s-0", "s-1"), message.attempts.stream().map(attempt -> attempt.endpoint).toList());
+            assertEquals(List.of(true, false), message.attempts.stream().map(attempt -> attempt.neverRan).toList());
         }
     }
 
-    /** It stood before what was taken next, which a restart then could not read. */
+    /** Guards against appending behind a torn record, since a restart can't read the records after it. */
     @Test
-    void aTornRecordThatCantBeCutOffHidesNothingThatIsTakenLater() throws Exception {
+    void tornRecordThatCannotBeCutOffDoesNotHideLaterMessages() throws Exception {
         try (Journal journal = open()) {
-            take(journal, 10);
+            accept(journal, 10);
             disk.writableBytes = 40;
             disk.truncateSucceeds = false;
-            assertThrows(IOException.class, () -> take(journal, 100));
+            assertThrows(IOException.class, () -> accept(journal, 100));
             disk.writableBytes = Long.MAX_VALUE;
-            assertThrows(IOException.class, () -> take(journal, 10), "the torn bytes are still there");
+            assertThrows(IOException.class, () -> accept(journal, 10), "the torn bytes are still there");
             disk.repair();
-            take(journal, 10);
+            accept(journal, 10);
         }
         try (Journal journal = open()) {
             assertEquals(List.of("id-0", "id-3"), ids(journal));
@@ -99,43 +100,43 @@
     }
 
     @Test
-    void aCompactedCopyHoldsWhatWaitedToBeWritten() throws Exception {
+    void compactedCopyContainsDeferredRecords() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage held = take(journal, 10);
-            held.attempts.add(new AcceptedMessage.Attempt("s-0", 1));
+            AcceptedMessage message = accept(journal, 10);
+            message.attempts.add(new AcceptedMessage.Attempt("s-0", 1));
             disk.writableBytes = 0;
-            journal.neverRan(held, 0);
+            journal.neverRan(message, 0);
             disk.repair();
             long before = journal.size();
             for (long size = 0; journal.size() >= size;) {
                 size = journal.size();
-                journal.ended(take(journal, 4000));
+                journal.ended(accept(journal, 4000));
             }
             assertTrue(journal.size() > before);
         }
         try (Journal journal = open()) {
-            assertEquals(1, journal.held().iterator().next().attempts.size(), "each attempt stands once");
+            assertEquals(1, journal.held().iterator().next().attempts.size(), "each attempt is recorded once");
         }
     }
 
-    /** A copy that can't be written leaves the file as it was. */
+    /** If the compacted copy can't be written, the file stays as it was. */
     @Test
-    void aCompactionThatFailsLosesNothing() throws Exception {
+    void failedCompactionLosesNothing() throws Exception {
         List<String> accepted = new ArrayList<>();
         try (Journal journal = open()) {
             for (int i = 0; i < 400; i++) {
                 disk.writableBytes = i % 3 == 0 ? 1000 : Long.MAX_VALUE;
                 try {
-                    AcceptedMessage held = take(journal, 2000);
-                    accepted.add(held.id);
+                    AcceptedMessage message = accept(journal, 2000);
+                    accepted.add(message.id);
                     if (accepted.size() > 10) {
-                        journal.ended(held);
-                        accepted.remove(held.id);
+                        journal.ended(message);
+                        accepted.remove(message.id);
                     }
                 } catch (IOException full) {
-                    // It is refused.
+                    // The message is rejected.
                 }
-                assertTrue(folderBytes() <= DISK_BYTES, "the folder stays under its bound");
+                assertTrue(folderBytes() <= DISK_BYTES, "the files stay within their limit");
             }
             disk.repair();
             assertTrue(journal.writeDeferred());
@@ -154,15 +155,15 @@
         return bytes;
     }
 
-    /** Whatever fails and whenever: once the disk is well and caught up, a restart finds what there was. */
+    /** After random failures, once the disk works and all records are written, a restart finds the same state. */
     @Test
-    void randomFailuresLoseNothingOnceTheDiskIsWell() throws Exception {
+    void randomFailuresLoseNothingOnceTheDiskWorksAgain() throws Exception {
         for (int seed = 0; seed < 30; seed++) {
             Random random = new Random(seed);
             List<AcceptedMessage> live = new ArrayList<>();
             try (Journal journal = open()) {
-                for (AcceptedMessage held : journal.held()) {
-                    journal.ended(held);
+                for (AcceptedMessage message : journal.held()) {
+                    journal.ended(message);
                 }
                 for (int step = 0; step < 300; step++) {
                     disk.writableBytes = random.nextInt(4) == 0 ? random.nextInt(3000) : Long.MAX_VALUE;
@@ -179,28 +180,29 @@
     }
 
     private static void step(Journal journal, List<AcceptedMessage> live, Random random) {
-        AcceptedMessage some = live.isEmpty() ? null : live.get(random.nextInt(live.size()));
+        AcceptedMessage message = live.isEmpty() ? null : live.get(random.nextInt(live.size()));
         try {
-            if (some == null || random.nextInt(3) == 0) {
-                live.add(take(journal, random.nextInt(2000)));
+            if (message == null || random.nextInt(3) == 0) {
+                live.add(accept(journal, random.nextInt(2000)));
             } else if (random.nextInt(3) == 0) {
-                journal.ended(some);
-                live.remove(some);
+                journal.ended(message);
+                live.remove(message);
             } else {
-                some.attempts.add(new AcceptedMessage.Attempt("s-" + some.attempts.size(), some.attempts.size()));
-                journal.begins(some, some.attempts.size() - 1);
+                message.attempts.add(
+                        new AcceptedMessage.Attempt("s-" + message.attempts.size(), message.attempts.size()));
+                journal.begins(message, message.attempts.size() - 1);
                 if (random.nextBoolean()) {
-                    journal.neverRan(some, some.attempts.size() - 1);
+                    journal.neverRan(message, message.attempts.size() - 1);
                 }
             }
-        } catch (IOException refused) {
-            // It did not happen.
+        } catch (IOException notWritten) {
+            // What could not be recorded did not happen.
         }
     }
 
-    /** Ids and recorded attempts, in order. */
-    private static List<String> describe(List<AcceptedMessage> held) {
-        return held.stream().map(h -> h.id + h.attempts.subList(0, h.recorded).stream()
-                .map(a -> a.endpoint + (a.neverRan ? "-" : "+")).toList()).toList();
+    /** Returns the ids and the recorded attempts of messages, in order. */
+    private static List<String> describe(List<AcceptedMessage> messages) {
+        return messages.stream().map(message -> message.id + message.attempts.subList(0, message.recorded).stream()
+                .map(attempt -> attempt.endpoint + (attempt.neverRan ? "-" : "+")).toList()).toList();
     }
 }
--- a/src/test/java/starlingvalve/net/JournalHandoverTest.java
+++ b/src/test/java/starlingvalve/net/JournalHandoverTest.java
@@ -9,56 +9,56 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A journal that one process has let go of and another has taken up. */
+/** A journal that one process has paused and another has opened. */
 class JournalHandoverTest {
-    private static final long BYTES = 40_000;
+    private static final long MAX_BYTES = 40_000;
 
     @TempDir
     private Path folder;
 
-    private static AcceptedMessage held(Journal journal, String id) {
+    private static AcceptedMessage newMessage(Journal journal, String id) {
         return new AcceptedMessage(journal.nextNumber(), id, "plain", "acme", Optional.empty(), Optional.empty(), 7,
                 journal.clock().nowMs() + 10_000, "hello".getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private List<String> inFile() throws Exception {
-        try (Journal read = new Journal(folder, BYTES, 12)) {
-            return read.held().stream().map(held -> held.id).toList();
+    private List<String> idsInFile() throws Exception {
+        try (Journal journal = new Journal(folder, MAX_BYTES, 12)) {
+            return journal.held().stream().map(message -> message.id).toList();
         }
     }
 
-    /** The old process still hears of the list until it knows that the new one owns. */
+    /** The predecessor still receives changes of the list until it knows that the successor owns the journal. */
     @Test
-    void whatTheNewProcessTakesOnOutlivesWhatTheOldOneStillRecords() throws Exception {
-        try (Journal old = new Journal(folder, BYTES, 12)) {
-            // Close to where it is compacted.
-            for (int i = 0; old.size() < BYTES - 3 * 512 - 600; i++) {
-                old.withdrawn("s-1", i % 2 == 0);
+    void pausedPredecessorDoesNotOverwriteTheSuccessorsRecords() throws Exception {
+        try (Journal predecessor = new Journal(folder, MAX_BYTES, 12)) {
+            // Fills the file almost up to the size at which it is compacted.
+            for (int i = 0; predecessor.size() < MAX_BYTES - 3 * 512 - 600; i++) {
+                predecessor.withdrawn("s-1", i % 2 == 0);
             }
-            old.pause();
-            try (Journal next = new Journal(folder, BYTES, 12)) {
-                next.accepted(held(next, "taken"));
+            predecessor.pause();
+            try (Journal successor = new Journal(folder, MAX_BYTES, 12)) {
+                successor.accepted(newMessage(successor, "taken"));
                 for (int i = 0; i < 20; i++) {
-                    old.withdrawn("s-1", i % 2 == 0);
+                    predecessor.withdrawn("s-1", i % 2 == 0);
                 }
-                next.accepted(held(next, "later"));
+                successor.accepted(newMessage(successor, "later"));
             }
         }
-        assertEquals(List.of("taken", "later"), inFile());
+        assertEquals(List.of("taken", "later"), idsInFile());
     }
 
-    /** What the disk did not take while it was let go of is known to the old process alone. */
+    /** Only the predecessor knows the records that could not be written before it paused the journal. */
     @Test
-    void whatIsNotInTheFileWhenItIsLetGoOfIsInItOnceTheNewProcessReadsIt() throws Exception {
+    void pauseWritesDeferredRecordsBeforeTheSuccessorReadsTheFile() throws Exception {
         FailingDisk disk = new FailingDisk();
-        try (Journal old = new Journal(folder, BYTES, 12, disk, TimeSource.SYSTEM)) {
-            AcceptedMessage held = held(old, "ended");
-            old.accepted(held);
+        try (Journal predecessor = new Journal(folder, MAX_BYTES, 12, disk, TimeSource.SYSTEM)) {
+            AcceptedMessage message = newMessage(predecessor, "ended");
+            predecessor.accepted(message);
             disk.writableBytes = 0;
-            old.ended(held);
+            predecessor.ended(message);
             disk.repair();
-            old.pause();
+            predecessor.pause();
         }
-        assertEquals(List.of(), inFile());
+        assertEquals(List.of(), idsInFile());
     }
 }
--- a/src/test/java/starlingvalve/net/JournalTest.java
+++ b/src/test/java/starlingvalve/net/JournalTest.java
@@ -20,29 +20,29 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class JournalTest {
-    private static final long DISK = 200_000;
+    private static final long MAX_BYTES = 200_000;
 
     @TempDir
     private Path folder;
 
     private Journal open() throws IOException {
-        return new Journal(folder, DISK, 12);
+        return new Journal(folder, MAX_BYTES, 12);
     }
 
-    private static AcceptedMessage held(Journal journal, int body) {
+    private static AcceptedMessage newMessage(Journal journal, int bodyBytes) {
         long number = journal.nextNumber();
         return new AcceptedMessage(number, "id-" + number, "order", "desk", Optional.of("key"),
-                Optional.of("thread"), 7, 12_345, new byte[body]);
+                Optional.of("thread"), 7, 12_345, new byte[bodyBytes]);
     }
 
-    /** An attempt is made, with no connection to wait for. */
-    static void attempt(Journal journal, AcceptedMessage held, AcceptedMessage.Attempt attempt) throws IOException {
-        held.attempts.add(attempt);
-        journal.begins(held, held.attempts.size() - 1);
+    /** Adds an attempt to a message and records that it starts at once. */
+    static void attempt(Journal journal, AcceptedMessage message, AcceptedMessage.Attempt attempt) throws IOException {
+        message.attempts.add(attempt);
+        journal.begins(message, message.attempts.size() - 1);
     }
 
     @Test
-    void endpointsThatTakeNoNewWorkAreKnownToTheNextLife() throws Exception {
+    void withdrawnEndpointsAreKnownAfterRestart() throws Exception {
         try (Journal journal = open()) {
             journal.withdrawn("s-1", true);
             journal.withdrawn("s-2", true);
@@ -54,15 +54,15 @@
         }
     }
 
-    /** A list that changes for ever leaves a bounded record, over compactions too, with what was told last. */
+    /** However often the list changes, its records stay bounded, also over compactions, and hold the latest change. */
     @Test
-    void endpointsThatTakeNoNewWorkTakeUpABoundedShare() throws Exception {
+    void recordsOfWithdrawnEndpointsAreBounded() throws Exception {
         try (Journal journal = open()) {
             for (int i = 0; i < 20_000; i++) {
                 journal.withdrawn("s-" + i, true);
-                assertTrue(journal.size() <= DISK);
+                assertTrue(journal.size() <= MAX_BYTES);
             }
-            journal.accepted(held(journal, 3));
+            journal.accepted(newMessage(journal, 3));
         }
         try (Journal journal = open()) {
             List<String> known = List.copyOf(journal.withdrawn());
@@ -73,67 +73,70 @@
     }
 
     @Test
-    void whatWasHeldComesBackWithAllThatHappenedToIt() throws Exception {
+    void openMessagesAreRestoredWithTheirAttemptsAndNotices() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage a = held(journal, 3);
-            AcceptedMessage b = held(journal, 3);
-            AcceptedMessage c = held(journal, 3);
-            for (AcceptedMessage h : List.of(a, b, c)) {
-                journal.accepted(h);
+            AcceptedMessage open = newMessage(journal, 3);
+            AcceptedMessage withNotice = newMessage(journal, 3);
+            AcceptedMessage ended = newMessage(journal, 3);
+            for (AcceptedMessage message : List.of(open, withNotice, ended)) {
+                journal.accepted(message);
             }
-            attempt(journal, a, new AcceptedMessage.Attempt("s-1", 100));
-            attempt(journal, a, new AcceptedMessage.Attempt("s-2", 200));
-            journal.neverRan(a, 0);
-            journal.owed(b, new AcceptedMessage.Notice(true, 500));
-            journal.ended(c);
+            attempt(journal, open, new AcceptedMessage.Attempt("s-1", 100));
+            attempt(journal, open, new AcceptedMessage.Attempt("s-2", 200));
+            journal.neverRan(open, 0);
+            journal.owed(withNotice, new AcceptedMessage.Notice(true, 500));
+            journal.ended(ended);
         }
         try (Journal journal = open()) {
-            List<AcceptedMessage> held = List.copyOf(journal.held());
-            assertEquals(2, held.size());
-            AcceptedMessage a = held.get(0);
-            assertEquals("id-0", a.id);
-            assertEquals(Optional.of("key"), a.key);
-            assertEquals(Optional.of("thread"), a.thread);
-            assertEquals(12_345, a.deadlineMs);
-            assertArrayEquals(new byte[3], a.body);
-            assertEquals(List.of("s-1", "s-2"), a.attempts.stream().map(x -> x.endpoint).toList());
-            assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
-            assertEquals(200, a.attempts.get(1).sentAtMs);
-            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(1).owed);
-            assertEquals(3, journal.nextNumber(), "numbers are not used again");
+            List<AcceptedMessage> messages = List.copyOf(journal.held());
+            assertEquals(2, messages.size());
+            AcceptedMessage open = messages.get(0);
+            assertEquals("id-0", open.id);
+            assertEquals(Optional.of("key"), open.key);
+            assertEquals(Optional.of("thread"), open.thread);
+            assertEquals(12_345, open.deadlineMs);
+            assertArrayEquals(new byte[3], open.body);
+            assertEquals(List.of("s-1", "s-2"), open.attempts.stream().map(attempt -> attempt.endpoint).toList());
+            assertEquals(List.of(true, false), open.attempts.stream().map(attempt -> attempt.neverRan).toList());
+            assertEquals(200, open.attempts.get(1).sentAtMs);
+            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), messages.get(1).owed);
+            assertEquals(3, journal.nextNumber(), "numbers are not reused");
         }
     }
 
-    /** One that has not begun was marked by its number, which a later one had in the file. */
+    /**
+     * Records refer to an attempt by its index. An attempt that has not started and has no record must not shift the
+     * indexes of later attempts.
+     */
     @Test
-    void anAttemptThatHasNotBegunKeepsItsPlaceAndHasNotRun() throws Exception {
+    void unstartedAttemptsKeepTheirIndexAndCountAsNeverRan() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage held = held(journal, 3);
-            journal.accepted(held);
-            held.attempts.add(new AcceptedMessage.Attempt("s-0", 100));
-            attempt(journal, held, new AcceptedMessage.Attempt("s-1", 200));
-            journal.neverRan(held, 0);
-            attempt(journal, held, new AcceptedMessage.Attempt("s-2", 300));
-            journal.neverRan(held, 2);
-            held.attempts.add(new AcceptedMessage.Attempt("s-3", 400));
-            attempt(journal, held, new AcceptedMessage.Attempt("s-4", 500));
-            journal.begins(held, 3);
-            journal.neverRan(held, 4);
-            held.attempts.add(new AcceptedMessage.Attempt("s-5", 600));
-            journal.neverRan(held, 5);
-            held.attempts.add(new AcceptedMessage.Attempt("s-6", 700));
+            AcceptedMessage message = newMessage(journal, 3);
+            journal.accepted(message);
+            message.attempts.add(new AcceptedMessage.Attempt("s-0", 100));
+            attempt(journal, message, new AcceptedMessage.Attempt("s-1", 200));
+            journal.neverRan(message, 0);
+            attempt(journal, message, new AcceptedMessage.Attempt("s-2", 300));
+            journal.neverRan(message, 2);
+            message.attempts.add(new AcceptedMessage.Attempt("s-3", 400));
+            attempt(journal, message, new AcceptedMessage.Attempt("s-4", 500));
+            journal.begins(message, 3);
+            journal.neverRan(message, 4);
+            message.attempts.add(new AcceptedMessage.Attempt("s-5", 600));
+            journal.neverRan(message, 5);
+            message.attempts.add(new AcceptedMessage.Attempt("s-6", 700));
         }
-        for (int life = 0; life < 2; life++) {
+        for (int restart = 0; restart < 2; restart++) {
             try (Journal journal = open()) {
-                AcceptedMessage held = journal.held().iterator().next();
+                AcceptedMessage message = journal.held().iterator().next();
                 assertEquals(List.of("s-0", "s-1", "s-2", "s-3", "s-4", "s-5"),
-                        held.attempts.stream().map(a -> a.endpoint).toList());
+                        message.attempts.stream().map(attempt -> attempt.endpoint).toList());
                 assertEquals(List.of(true, false, true, false, true, true),
-                        held.attempts.stream().map(a -> a.neverRan).toList(),
-                        "what may have run must not be taken for what never did");
-                // Over the bound of the file, so that it is compacted meanwhile.
+                        message.attempts.stream().map(attempt -> attempt.neverRan).toList(),
+                        "an attempt that may have run must not count as one that never ran");
+                // Writes more than the file may hold, so that it is compacted in between.
                 for (int i = 0; i < 60; i++) {
-                    AcceptedMessage other = held(journal, 4000);
+                    AcceptedMessage other = newMessage(journal, 4000);
                     journal.accepted(other);
                     journal.ended(other);
                 }
@@ -142,14 +145,14 @@
     }
 
     @Test
-    void aWholeRecordThatMeansNothingHereHidesNoneBehindIt() throws Exception {
+    void completeButUnknownRecordDoesNotHideLaterRecords() throws Exception {
         Path file = folder.resolve("journal");
         try (Journal journal = open()) {
-            journal.accepted(held(journal, 3));
+            journal.accepted(newMessage(journal, 3));
         }
         byte[] first = Files.readAllBytes(file);
         try (Journal journal = open()) {
-            journal.accepted(held(journal, 3));
+            journal.accepted(newMessage(journal, 3));
         }
         byte[] both = Files.readAllBytes(file);
         for (byte[] body : List.of(new byte[] {99, 0, 0, 0, 0, 0, 0, 0, 0}, new byte[] {99},
@@ -168,12 +171,12 @@
     }
 
     @Test
-    void aTornTailIsDroppedAndWrittenOver() throws Exception {
+    void tornTailIsDroppedAndOverwritten() throws Exception {
         long first;
         try (Journal journal = open()) {
-            journal.accepted(held(journal, 10));
+            journal.accepted(newMessage(journal, 10));
             first = journal.size();
-            journal.accepted(held(journal, 10));
+            journal.accepted(newMessage(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] whole = Files.readAllBytes(file);
@@ -181,10 +184,10 @@
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
                 assertEquals(1, journal.held().size());
-                journal.accepted(held(journal, 10));
+                journal.accepted(newMessage(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.held().size(), "what follows a torn tail must be found again");
+                assertEquals(2, journal.held().size(), "a record appended after a torn tail must be read again");
             }
         }
         Files.write(file, whole);
@@ -195,10 +198,10 @@
     }
 
     @Test
-    void aChangedByteEndsTheReplay() throws Exception {
+    void corruptedByteEndsReplay() throws Exception {
         try (Journal journal = open()) {
-            journal.accepted(held(journal, 10));
-            journal.accepted(held(journal, 10));
+            journal.accepted(newMessage(journal, 10));
+            journal.accepted(newMessage(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] bytes = Files.readAllBytes(file);
@@ -210,68 +213,69 @@
     }
 
     @Test
-    void theFolderStaysUnderItsBoundAtEveryMomentAndLosesNothing() throws Exception {
+    void filesNeverExceedTheLimitAndNoMessageIsLost() throws Exception {
         Random random = new Random(5);
         Deque<AcceptedMessage> live = new ArrayDeque<>();
-        int refused = 0;
+        int rejected = 0;
         int compactions = 0;
         try (Journal journal = open()) {
             for (int i = 0; i < 4000; i++) {
                 long before = journal.size();
-                AcceptedMessage h = held(journal, random.nextInt(4000));
+                AcceptedMessage message = newMessage(journal, random.nextInt(4000));
                 try {
-                    journal.accepted(h);
-                    live.add(h);
-                    attempt(journal, h, new AcceptedMessage.Attempt("s-" + i, i));
-                    journal.neverRan(h, 0);
+                    journal.accepted(message);
+                    live.add(message);
+                    attempt(journal, message, new AcceptedMessage.Attempt("s-" + i, i));
+                    journal.neverRan(message, 0);
                 } catch (IOException full) {
-                    refused++;
+                    rejected++;
                 }
                 if (random.nextInt(100) < 48 || live.size() > 60) {
-                    AcceptedMessage over = live.remove();
-                    journal.owed(over, new AcceptedMessage.Notice(false, 0));
-                    journal.ended(over);
+                    AcceptedMessage ended = live.remove();
+                    journal.owed(ended, new AcceptedMessage.Notice(false, 0));
+                    journal.ended(ended);
                 }
                 compactions += journal.size() < before ? 1 : 0;
-                // A compaction begun now would stand beside the file with all that is live.
-                long liveBytes = live.stream().mapToLong(x -> x.bytes).sum();
-                assertTrue(journal.size() + liveBytes + 1024 <= DISK, "at step " + i);
+                // A compacted copy with all live records must fit beside the file at any time.
+                long liveBytes = live.stream().mapToLong(open -> open.bytes).sum();
+                assertTrue(journal.size() + liveBytes + 1024 <= MAX_BYTES, "at step " + i);
             }
         }
-        assertTrue(refused > 0, "live bytes that leave no room refuse new messages");
+        assertTrue(rejected > 0, "new messages are rejected while live records leave no room");
         assertTrue(compactions > 10);
         try (Journal journal = open()) {
-            assertEquals(live.stream().map(h -> h.id).toList(), journal.held().stream().map(h -> h.id).toList());
+            assertEquals(live.stream().map(message -> message.id).toList(),
+                    journal.held().stream().map(message -> message.id).toList());
         }
     }
 
     @Test
-    void thereIsRoomForEveryLaterRecordOfWhatWasTaken() throws Exception {
+    void roomIsReservedForAllLaterRecordsOfAcceptedMessages() throws Exception {
         try (Journal journal = open()) {
             Deque<AcceptedMessage> accepted = new ArrayDeque<>();
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    AcceptedMessage h = held(journal, 500);
-                    journal.accepted(h);
-                    accepted.add(h);
+                    AcceptedMessage message = newMessage(journal, 500);
+                    journal.accepted(message);
+                    accepted.add(message);
                 }
             });
-            for (AcceptedMessage h : accepted) {
+            for (AcceptedMessage message : accepted) {
                 for (int i = 0; i < 12; i++) {
-                    attempt(journal, h, new AcceptedMessage.Attempt("s-5be2a07c5be2a07c", i));
-                    journal.neverRan(h, i);
+                    attempt(journal, message, new AcceptedMessage.Attempt("s-5be2a07c5be2a07c", i));
+                    journal.neverRan(message, i);
                 }
-                journal.owed(h, new AcceptedMessage.Notice(true, 1));
+                journal.owed(message, new AcceptedMessage.Notice(true, 1));
             }
-            for (AcceptedMessage h : accepted) {
-                journal.ended(h);
+            for (AcceptedMessage message : accepted) {
+                journal.ended(message);
             }
-            journal.accepted(held(journal, 500));
+            journal.accepted(newMessage(journal, 500));
         }
     }
 
     @Test
-    void anUnfinishedCompactionIsRemoved() throws Exception {
+    void unfinishedCompactedCopyIsDeleted() throws Exception {
         Files.write(folder.resolve("journal.next"), new byte[5000]);
         try (Journal journal = open()) {
             assertTrue(Files.notExists(folder.resolve("journal.next")));
@@ -279,14 +283,14 @@
         }
     }
 
-    // ---- messages that have ended ----
+    // ---- ended messages ----
 
-    private static AcceptedMessage accepted(Journal journal, String id, long deadlineMs) throws IOException {
-        AcceptedMessage held =
+    private static AcceptedMessage accept(Journal journal, String id, long deadlineMs) throws IOException {
+        AcceptedMessage message =
                 new AcceptedMessage(journal.nextNumber(), id, "order", "desk", Optional.of("key"), Optional.empty(), 7,
                         deadlineMs, new byte[10]);
-        journal.accepted(held);
-        return held;
+        journal.accepted(message);
+        return message;
     }
 
     private static Optional<FinishedMessage.Result> result(Journal journal, String id) {
@@ -294,17 +298,17 @@
     }
 
     @Test
-    void howAMessageEndedOutlastsTheProcessAndCompaction() throws Exception {
-        long deadline = System.currentTimeMillis() + 60_000;
+    void resultsSurviveRestartAndCompaction() throws Exception {
+        long deadlineMs = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
-            journal.ended(accepted(journal, "delivered", deadline), FinishedMessage.Result.DELIVERED);
-            AcceptedMessage heard = accepted(journal, "heard", deadline);
-            journal.owed(heard, new AcceptedMessage.Notice(true, 700));
-            journal.ended(heard);
-            journal.owed(accepted(journal, "unheard", deadline), new AcceptedMessage.Notice(false, 0));
-            journal.ended(accepted(journal, "nobody's", deadline));
+            journal.ended(accept(journal, "delivered", deadlineMs), FinishedMessage.Result.DELIVERED);
+            AcceptedMessage acknowledged = accept(journal, "heard", deadlineMs);
+            journal.owed(acknowledged, new AcceptedMessage.Notice(true, 700));
+            journal.ended(acknowledged);
+            journal.owed(accept(journal, "unheard", deadlineMs), new AcceptedMessage.Notice(false, 0));
+            journal.ended(accept(journal, "nobody's", deadlineMs));
         }
-        for (int life = 0; life < 3; life++) {
+        for (int restart = 0; restart < 3; restart++) {
             try (Journal journal = open()) {
                 assertEquals(Optional.of(FinishedMessage.Result.DELIVERED), result(journal, "delivered"));
                 assertEquals(Optional.of(FinishedMessage.Result.REFUSED), result(journal, "heard"));
@@ -315,53 +319,53 @@
                 long before = journal.size();
                 for (int i = 0; journal.size() >= before; i++) {
                     before = journal.size();
-                    journal.ended(accepted(journal, "filler-" + i, 0), FinishedMessage.Result.DELIVERED);
+                    journal.ended(accept(journal, "filler-" + i, 0), FinishedMessage.Result.DELIVERED);
                 }
             }
         }
     }
 
-    /** The notice alone would have told a later life that the message was given up. */
+    /** After a restart the record of the notice alone would mean that the message was given up. */
     @Test
-    void aDeliveryThatANoticeConfirmsStaysOneOverRestartsAndCompaction() throws Exception {
-        long deadline = System.currentTimeMillis() + 60_000;
+    void deliveryWithConfirmingNoticeStaysDeliveredAfterRestartAndCompaction() throws Exception {
+        long deadlineMs = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
-            journal.confirming(accepted(journal, "heard", deadline));
-            journal.confirming(accepted(journal, "unheard", deadline));
+            journal.confirming(accept(journal, "heard", deadlineMs));
+            journal.confirming(accept(journal, "unheard", deadlineMs));
             journal.ended(journal.held().iterator().next());
         }
-        for (int life = 0; life < 3; life++) {
+        for (int restart = 0; restart < 3; restart++) {
             try (Journal journal = open()) {
                 for (String id : List.of("heard", "unheard")) {
                     assertEquals(Optional.of(FinishedMessage.Result.DELIVERED), result(journal, id));
                 }
-                assertEquals(List.of("unheard"), journal.held().stream().map(held -> held.id).toList());
+                assertEquals(List.of("unheard"), journal.held().stream().map(message -> message.id).toList());
                 assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.held().iterator().next().owed.orElseThrow());
                 for (long before = 0; journal.size() >= before;) {
                     before = journal.size();
-                    journal.ended(accepted(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
+                    journal.ended(accept(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
                 }
             }
         }
     }
 
     @Test
-    void endedMessagesAreForgottenOnceTheirIdsCantComeAgain() throws Exception {
-        long now = System.currentTimeMillis();
+    void endedMessagesAreForgottenOnceTheirIdsExpire() throws Exception {
+        long nowMs = System.currentTimeMillis();
         try (Journal journal = open()) {
-            journal.ended(accepted(journal, "late", now - FinishedMessage.REPEAT_GRACE_MS),
+            journal.ended(accept(journal, "late", nowMs - FinishedMessage.REPEAT_GRACE_MS),
                     FinishedMessage.Result.FAILED);
             assertEquals(Optional.empty(), result(journal, "late"));
         }
     }
 
     @Test
-    void endedMessagesTakeUpABoundedShareAndTheOldestGiveWay() throws Exception {
-        long deadline = System.currentTimeMillis() + 60_000;
+    void recordsOfEndedMessagesAreBoundedAndTheOldestAreDropped() throws Exception {
+        long deadlineMs = System.currentTimeMillis() + 60_000;
         try (Journal journal = open()) {
             for (int i = 0; i < 5000; i++) {
-                journal.ended(accepted(journal, "id-" + i, deadline), FinishedMessage.Result.DELIVERED);
-                assertTrue(Files.size(folder.resolve("journal")) <= DISK);
+                journal.ended(accept(journal, "id-" + i, deadlineMs), FinishedMessage.Result.DELIVERED);
+                assertTrue(Files.size(folder.resolve("journal")) <= MAX_BYTES);
             }
             assertEquals(Optional.empty(), result(journal, "id-0"));
             assertEquals(Optional.of(FinishedMessage.Result.DELIVERED), result(journal, "id-4999"));
@@ -370,7 +374,7 @@
     }
 
     @Test
-    void endedMessagesCostTheSameHoweverManyThereAre() {
+    void memoryOfEndedMessagesIsBounded() {
         FinishedMessages messages = new FinishedMessages(Long.MAX_VALUE);
         for (int i = 0; i < 100_000; i++) {
             messages.add(new FinishedMessage("id-" + i, FinishedMessage.Result.DELIVERED, 0, Long.MAX_VALUE), 50, 0);
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import starlingvalve.DeliveryPolicy;
 
-/** What a sender goes on with after its process was killed or told to end. */
+/** What a sender resumes after its process was killed or shut down. */
 class RestartTest extends SenderFixture {
     @Test
-    void aKeyedAttemptThatWasOutIsRepeatedWithinItsWindow() throws Exception {
+    void keyedAttemptInFlightIsRepeatedWithinItsWindow() throws Exception {
         script(StubServer.silent());
         start();
         submit("one", "order");
@@ -30,14 +30,14 @@
         script(StubServer.status(200, ""));
         killAndRestart();
         StubServer.await("the repeat", () -> calls().size() == 2);
-        assertEquals(List.of("one", "one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
+        assertEquals(List.of("one", "one"), calls().stream().map(call -> call.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
-                calls().stream().map(c -> c.header("Idempotency-Key")).toList());
+                calls().stream().map(call -> call.header("Idempotency-Key")).toList());
         awaitEmptyJournal();
     }
 
     @Test
-    void aKeyedAttemptThatWasOutIsNotRepeatedPastItsWindow() throws Exception {
+    void keyedAttemptInFlightIsNotRepeatedAfterItsWindow() throws Exception {
         leaveEarlierRun("order", 21_000, 10_000, false);
         start();
         awaitNotice("bounced");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anUnsafeAttemptThatWasOutIsGivenUp() throws Exception {
+    void unsafeMessageWithAttemptInFlightIsGivenUp() throws Exception {
         script(StubServer.silent());
         start();
         submit("one", "once");
@@ -55,26 +55,29 @@
         assertEquals(1, calls().size());
     }
 
-    /** Killed while the connection for its one try was still coming up: it counted as one that may have run. */
+    /**
+     * The process is killed when the connection for the message's only attempt is established and nothing of the call
+     * is written. The attempt must not count as one that may have run.
+     */
     @Test
-    void anUnsafeMessageWhoseCallNeverBeganIsSentInTheNextLife() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
-        AtomicInteger questions = new AtomicInteger();
+    void unsafeMessageWhoseCallNeverStartedIsSentAfterRestart() throws Exception {
+        CountDownLatch connectionEstablished = new CountDownLatch(1);
+        AtomicInteger mayStartCalls = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("mayStart") && questions.incrementAndGet() == 2) {
-                // Its connection is up, and nothing is written: the process is as good as gone from here on.
-                asked.countDown();
+            if (event.equals("mayStart") && mayStartCalls.incrementAndGet() == 2) {
+                // The connection is established and nothing is written. The process makes no progress from here on.
+                connectionEstablished.countDown();
                 awaitLatch(killed);
             }
         };
         start();
         submit("one", "once");
-        awaitLatch(asked);
+        awaitLatch(connectionEstablished);
         Path state = folder.resolve("state");
         Files.copy(state.resolve("journal"), folder.resolve("journal"));
         script(StubServer.silent());
         killed.countDown();
-        StubServer.await("it may have run now", () -> calls().size() == 1);
+        StubServer.await("the attempt may have run now", () -> calls().size() == 1);
         sender.kill();
         Files.copy(folder.resolve("journal"), state.resolve("journal"), StandardCopyOption.REPLACE_EXISTING);
         script(StubServer.status(200, ""));
@@ -86,12 +89,12 @@
     }
 
     @Test
-    void anUnsafeMessageWhoseAttemptNeverRanIsSentAgain() throws Exception {
+    void unsafeMessageWhoseAttemptNeverRanIsSentAgain() throws Exception {
         script(StubServer.status(503, ""));
         start();
         submit("one", "once");
-        StubServer.await("the refusal is known", () -> journalledMessages().get(0).attempts.stream()
-                .anyMatch(a -> a.neverRan));
+        StubServer.await("the rejection is recorded", () -> journalledMessages().get(0).attempts.stream()
+                .anyMatch(attempt -> attempt.neverRan));
         script(StubServer.status(200, ""));
         killAndRestart();
         awaitEmptyJournal();
@@ -99,22 +102,26 @@
     }
 
     @Test
-    void anUnsentMessageGoesOutInTheNextLife() throws Exception {
+    void unattemptedMessageIsSentAfterRestart() throws Exception {
         leaveEarlierRun("once", 0, 10_000, false);
         start();
         awaitEmptyJournal();
         assertEquals(1, calls().size());
     }
 
-    /** One message that the module can't take was owed for ever, and so were all that were taken after it. */
+    /**
+     * Guards against a message on which the delivery policy fails: neither it nor the messages accepted after it may
+     * stay in the journal for ever.
+     */
     @Test
-    void aFaultInOneMessageOfTheJournalCostsNoOther() throws Exception {
+    void faultInOneRecoveredMessageDoesNotAffectOthers() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (String id : List.of("first", "faulty", "tried", "last")) {
                 unattempted(journal, id, "plain", 7, Optional.empty());
             }
-            List<AcceptedMessage> held = List.copyOf(journal.held());
-            JournalTest.attempt(journal, held.get(2), new AcceptedMessage.Attempt("s-0", System.currentTimeMillis()));
+            List<AcceptedMessage> messages = List.copyOf(journal.held());
+            JournalTest.attempt(journal, messages.get(2),
+                    new AcceptedMessage.Attempt("s-0", System.currentTimeMillis()));
         }
         beforeEvent = (event, arguments) -> {
             if (event.equals("resumed") && ((DeliveryPolicy.Message) arguments[1]).id() == 1) {
@@ -123,28 +130,30 @@
         };
         start();
         awaitNotice("{\"ref\":\"faulty\",\"result\":\"bounced\"}");
-        assertEquals(Set.of("first", "tried", "last"), calls().stream().map(c -> c.header("X-Call-Id"))
+        assertEquals(Set.of("first", "tried", "last"), calls().stream().map(call -> call.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
     }
 
     /**
-     * What a restart finds taken on and untried, of every effect: at destinations of which one is listed only later,
-     * one had trouble and is back, and one has a limit; and with keys in order.
+     * Writes a journal with unattempted messages of every effect (safe, keyed and unsafe), with ordering keys. Of their
+     * destinations, one is listed only later, one refused calls before the restart, and one has a rate limit. Returns
+     * the ids of the unattempted messages.
      */
-    private List<String> leaveUntried() throws Exception {
+    private List<String> leaveUnattempted() throws Exception {
         List<String> unattempted = new ArrayList<>();
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (int i = 0; i < 5; i++) {
-                AcceptedMessage refused = unattempted(journal, "refused-" + i, "plain", 2, Optional.empty());
+                AcceptedMessage rejected = unattempted(journal, "refused-" + i, "plain", 2, Optional.empty());
                 for (int attempt = 0; attempt < 2; attempt++) {
-                    JournalTest.attempt(journal, refused,
+                    JournalTest.attempt(journal, rejected,
                             new AcceptedMessage.Attempt("s-2", System.currentTimeMillis() - 3000));
-                    journal.neverRan(refused, attempt);
+                    journal.neverRan(rejected, attempt);
                 }
             }
-            AcceptedMessage waits = unattempted(journal, "refused-later", "once", 4, Optional.of("alone"));
-            JournalTest.attempt(journal, waits, new AcceptedMessage.Attempt("s-4", System.currentTimeMillis() - 3000));
-            journal.neverRan(waits, 0);
+            AcceptedMessage waiting = unattempted(journal, "refused-later", "once", 4, Optional.of("alone"));
+            JournalTest.attempt(journal, waiting,
+                    new AcceptedMessage.Attempt("s-4", System.currentTimeMillis() - 3000));
+            journal.neverRan(waiting, 0);
             for (int i = 0; i < 3; i++) {
                 for (int destination : List.of(7, 2, 3, 4)) {
                     for (String type : List.of("order", "once", "plain")) {
@@ -158,31 +167,36 @@
         return unattempted;
     }
 
-    /** Destination 3 takes a call each 100 ms, and tells the others to wait; all else is delivered. */
-    private void takeWithALimit() {
-        long[] free = new long[1];
+    /** Destination 3 accepts a call every 100 ms and answers others with 429 and Retry-After; all else is delivered. */
+    private void scriptRateLimit() {
+        long[] nextFreeNanos = new long[1];
         script((request, socket) -> {
             boolean limited = request.header("X-Call-Id").contains("-3-");
             boolean accepted;
-            synchronized (free) {
-                accepted = !limited || System.nanoTime() >= free[0];
+            synchronized (nextFreeNanos) {
+                accepted = !limited || System.nanoTime() >= nextFreeNanos[0];
                 if (limited && accepted) {
-                    free[0] = System.nanoTime() + 100_000_000;
+                    nextFreeNanos[0] = System.nanoTime() + 100_000_000;
                 }
             }
             StubServer.status(accepted ? 200 : 429, accepted ? "" : "Retry-After: 0.1\r\n").come(request, socket);
         });
     }
 
-    private void allUntriedAreCalled(List<String> unattempted) throws Exception {
-        StubServer.await("the destination that is not listed yet is all that waits", () -> journalledMessages().stream()
-                .allMatch(h -> h.destination == 4));
+    /**
+     * Waits until only messages for destination 4 remain, then lists that destination. All messages must be attempted
+     * then, without a notice, and those of class "once" in order.
+     */
+    private void awaitAllAttempted(List<String> unattempted) throws Exception {
+        StubServer.await("only messages for the unlisted destination remain", () -> journalledMessages().stream()
+                .allMatch(message -> message.destination == 4));
         otherDestinations = 3;
         awaitEmptyJournal();
         List<String> called = calls().stream().sorted(Comparator.comparingLong(StubServer.Message::atNanos))
-                .map(c -> c.header("X-Call-Id")).distinct().toList();
-        assertEquals(List.of(), unattempted.stream().filter(id -> !called.contains(id)).toList(), "given up untried");
-        assertTrue(called.contains("refused-later"), "what never ran is tried as well");
+                .map(call -> call.header("X-Call-Id")).distinct().toList();
+        assertEquals(List.of(), unattempted.stream().filter(id -> !called.contains(id)).toList(),
+                "given up unattempted");
+        assertTrue(called.contains("refused-later"), "a message whose only attempt never ran is attempted again");
         assertEquals(List.of(), notices);
         for (int destination : List.of(7, 2, 3, 4)) {
             assertEquals(IntStream.range(0, 3).mapToObj(i -> "once-" + destination + "-" + i).toList(),
@@ -191,19 +205,19 @@
     }
 
     @Test
-    void whatARestartAfterAKillFindsUntriedIsStillTried() throws Exception {
-        List<String> unattempted = leaveUntried();
-        takeWithALimit();
+    void unattemptedMessagesAreAttemptedAfterKill() throws Exception {
+        List<String> unattempted = leaveUnattempted();
+        scriptRateLimit();
         otherDestinations = 2;
         fleetSize = 100;
         start();
-        allUntriedAreCalled(unattempted);
+        awaitAllAttempted(unattempted);
     }
 
     @Test
-    void whatARestartAfterAnOrderlyEndFindsUntriedIsStillTried() throws Exception {
-        List<String> unattempted = leaveUntried();
-        takeWithALimit();
+    void unattemptedMessagesAreAttemptedAfterShutdown() throws Exception {
+        List<String> unattempted = leaveUnattempted();
+        scriptRateLimit();
         otherDestinations = 2;
         fleetSize = 100;
         listInConfig = false;
@@ -215,12 +229,15 @@
         listInConfig = true;
         agentUp = true;
         start();
-        allUntriedAreCalled(unattempted);
+        awaitAllAttempted(unattempted);
     }
 
-    /** A class that is gone, another effect, a destination that nobody lists, a torn tail: none costs another. */
+    /**
+     * The journal contains a message of a removed class, one of a class with another effect, one for an unlisted
+     * destination, and a torn tail: none of them affects another message.
+     */
     @Test
-    void aFolderOfOtherSettingsCostsNoOtherMessage() throws Exception {
+    void journalOfOtherSettingsDoesNotAffectOtherMessages() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             unattempted(journal, "gone", "a class of another customer", 7, Optional.empty());
             journal.accepted(new AcceptedMessage(journal.nextNumber(), "keyless", "order", "nobody", Optional.empty(),
@@ -233,14 +250,14 @@
         start();
         StubServer.await("both notices", () -> notices.size() == 2);
         awaitEmptyJournal();
-        assertEquals(Set.of("keyless", "good"), calls().stream().map(c -> c.header("X-Call-Id"))
+        assertEquals(Set.of("keyless", "good"), calls().stream().map(call -> call.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
         assertTrue(notices.get(0).startsWith("{\"ref\":\"gone\",\"result\":\"bounced\""), notices.get(0));
         assertTrue(notices.get(1).startsWith("{\"ref\":\"nowhere\",\"result\":\"bounced\""), notices.get(1));
     }
 
     @Test
-    void anOverdueMessageGetsItsNoticeAtOnce() throws Exception {
+    void overdueMessageGetsItsNoticeAtOnce() throws Exception {
         leaveEarlierRun("order", 0, -5000, false);
         start();
         awaitNotice("bounced");
@@ -248,7 +265,7 @@
     }
 
     @Test
-    void anOwedNoticeGoesOutInTheNextLife() throws Exception {
+    void unacknowledgedNoticeIsSentAfterRestart() throws Exception {
         leaveEarlierRun("order", 0, 10_000, true);
         start();
         awaitNotice("{\"ref\":\"old\",\"result\":\"bounced\",\"wait_ms\":700}");
