--- a/src/main/java/starlingvalve/net/StateLock.java
+++ b/src/main/java/starlingvalve/net/StateLock.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 
 /**
- * The lock that the owner of the journal, and with it of the delivery policy's state, holds. It is a file lock on an
- * empty file beside the journal, which the operating system releases however the process ends. The journal itself can't
- * be locked, since a compacted copy replaces it.
+ * The lock of the process that owns the journal, and with it the delivery policy. It is a file lock on an empty file
+ * beside the journal, which the operating system releases however the process ends. The journal itself can't be locked,
+ * since a compacted copy replaces it.
  */
 final class StateLock implements AutoCloseable {
     private final FileChannel channel;
