--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -96,7 +96,7 @@
          *
          * @param answered called with whether the client may have received the answer; with false if it never will
          */
-        static Verdict taken(Consumer<Boolean> answered) {
+        static Verdict accepted(Consumer<Boolean> answered) {
             return new Verdict(Decision.ACCEPTED, "", 0, answered);
         }
 
@@ -113,14 +113,14 @@
         /** The verdict on a message that is submitted again after it has ended: its result. */
         static Verdict finished(FinishedMessage message) {
             return switch (message.result()) {
-                case DELIVERED -> taken(mayBeReceived -> { });
+                case DELIVERED -> accepted(mayBeReceived -> { });
                 case REFUSED -> refused("it was handed back", message.waitMs());
                 case FAILED -> new Verdict(Decision.FAILED, "it was given up", 0, mayBeReceived -> { });
             };
         }
 
         /** Whether the message is accepted. */
-        boolean taken() {
+        boolean accepted() {
             return decision == Decision.ACCEPTED;
         }
     }
@@ -475,7 +475,7 @@
             }
             boolean close = !HttpUtil.isKeepAlive(request);
             handler.take(submission, verdict -> {
-                if (verdict.taken()) {
+                if (verdict.accepted()) {
                     ChannelProgressivePromise written = ctx.newProgressivePromise();
                     written.addListener(new ResponseWriteListener(verdict.answered()));
                     respond(ctx, close, response(HttpResponseStatus.ACCEPTED, ""), written);
--- a/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
+++ b/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
@@ -33,6 +33,6 @@
     public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
         ids.add(submission.id());
         budgets.add(submission.budgetMs());
-        callback.accept(SubmissionServer.Verdict.taken(mayBeReceived -> { }));
+        callback.accept(SubmissionServer.Verdict.accepted(mayBeReceived -> { }));
     }
 }
