--- a/src/main/java/starlingvalve/net/AgentConnection.java
+++ b/src/main/java/starlingvalve/net/AgentConnection.java
@@ -47,7 +47,7 @@
     /** Of {@link #channel}. */
     private final QuietPeriod quiet = new QuietPeriod();
     private Request current;
-    private boolean failedHere;
+    private boolean failedLocally;
 
     private final class Request {
         private final Consumer<Optional<FullHttpResponse>> then;
@@ -92,12 +92,12 @@
     }
 
     @Override
-    public void ask(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+    public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
         request.headers().set(HttpHeaderNames.HOST, Endpoints.hostPort(address))
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         Request mine = new Request(then);
         current = mine;
-        failedHere = false;
+        failedLocally = false;
         mine.timer = AfterPendingReads.in(loop, limitMs, TimeUnit.MILLISECONDS, () -> fail(mine));
         long quietNanos = quiet.remainingNanos();
         if (isConnected() && quietNanos > 0) {
@@ -121,7 +121,7 @@
     }
 
     private void connected(Request mine, FullHttpRequest request, ChannelFuture done) {
-        failedHere = current == mine && !done.isSuccess() && isFailureHere(done.cause());
+        failedLocally = current == mine && !done.isSuccess() && isFailureHere(done.cause());
         if (current == mine && done.isSuccess() && isUsable(done.channel())) {
             channel = done.channel();
             send(mine, request);
@@ -140,8 +140,8 @@
     }
 
     @Override
-    public boolean failedHere() {
-        return failedHere;
+    public boolean failedLocally() {
+        return failedLocally;
     }
 
     /** Whether nothing has come over it that nobody asked for, not even its end. */
@@ -158,9 +158,9 @@
     }
 
     @Override
-    public void moved(InetSocketAddress to) {
+    public void changeAddress(InetSocketAddress to) {
         address = to;
-        giveUp();
+        cancelRequest();
         disconnect();
     }
 
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void giveUp() {
+    public void cancelRequest() {
         if (current != null) {
             fail(current);
         }
--- a/src/main/java/starlingvalve/net/DescriptorBudget.java
+++ b/src/main/java/starlingvalve/net/DescriptorBudget.java
@@ -31,7 +31,7 @@
     /** For clients, for operators, and for a new version of this sender, with its connection. */
     private static final int LISTENERS = 4;
     /** To discovery and for notices: the one in use, and those that were given up while they came up; for checks. */
-    private static final int AGENT_CONNECTIONS = 6 + ListLease.MOST_CHECKS;
+    private static final int AGENT_CONNECTIONS = 6 + ListLease.MAX_CHECKS;
     private static final int RESERVED_BESIDES_JVM = FILES + LISTENERS + AGENT_CONNECTIONS
             + OperatorServer.MOST_CONNECTIONS + 2 * ACCEPT_BURST;
     /** Clients use at most one in so many descriptors for their requests. */
--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -27,7 +27,7 @@
     /** Where requests go: the platform's agent. */
     interface Source {
         /** Sends a request; exactly one response follows, empty if none came within the limit. */
-        void ask(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then);
+        void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then);
 
         /** Closes the connection, on which nothing is out; the next request opens another. */
         void disconnect();
@@ -38,15 +38,15 @@
         }
 
         /** Nobody waits for the request that is out any more: it ends as unanswered, if there is one. */
-        void giveUp();
+        void cancelRequest();
 
         /** Whether the last request failed on this machine, before it could be sent: that tells nothing of the agent. */
-        default boolean failedHere() {
+        default boolean failedLocally() {
             return false;
         }
 
         /** It is at another address from now on; a request that is out is given up, as if unanswered. */
-        void moved(InetSocketAddress to);
+        void changeAddress(InetSocketAddress to);
     }
 
     private final EventLoop loop;
@@ -77,18 +77,18 @@
         this.list = list;
         this.lease = lease;
         this.nanoClock = nanoClock;
-        lease.ifPresent(held -> held.whenLost(this::requestsLost));
+        lease.ifPresent(held -> held.onRequestsLost(this::requestsLost));
     }
 
     /** Takes over what the configuration knew, if anything, and asks for the rest from now on. */
     void start(Optional<JsonNode> known) {
-        known.ifPresent(json -> list.takeKnown(json, EndpointList.Source.CONFIGURATION));
+        known.ifPresent(json -> list.loadKnown(json, EndpointList.Source.CONFIGURATION));
         request();
     }
 
     /** Whether discovery has answered since the start. */
     boolean answered() {
-        return list.isDiscoverys();
+        return list.isFromDiscovery();
     }
 
     /** The version of discovery's list that this sender holds; negative as long as discovery has not answered. */
@@ -114,23 +114,23 @@
     }
 
     /** Takes a list from elsewhere, if discovery itself has not answered yet. */
-    void inherit(JsonNode other) {
+    void usePredecessorList(JsonNode other) {
         if (!answered() && other.path("instances").isArray()) {
-            list.takeKnown(other, EndpointList.Source.OLD_PROCESS);
+            list.loadKnown(other, EndpointList.Source.OLD_PROCESS);
         }
     }
 
     /** An earlier process was told that these endpoints drain or are gone: that holds until discovery answers. */
-    void withdraw(Set<String> endpoints) {
-        list.withdraw(endpoints);
+    void markDraining(Set<String> endpoints) {
+        list.markDraining(endpoints);
     }
 
     /** Discovery is at another address: its list is asked for whole, as it may count in another way. */
-    void moved(InetSocketAddress to) {
+    void changeAddress(InetSocketAddress to) {
         events.add("discovery-moved", "address", Endpoints.hostPort(to));
         list.forgetGeneration();
-        source.moved(to);
-        lease.ifPresent(held -> held.moved(to));
+        source.changeAddress(to);
+        lease.ifPresent(held -> held.changeAddress(to));
         if (retry != null) {
             // However long the old one was silent, the new one is asked now.
             retry.cancel(false);
@@ -142,7 +142,7 @@
     /** Requests that were sent before this time may be lost: if the one that is out is among them, it is sent anew. */
     private void requestsLost(long sentBefore) {
         if (retry == null && requestNanos < sentBefore) {
-            source.giveUp();
+            source.cancelRequest();
         }
         if (retry != null) {
             retry.cancel(false);
@@ -158,10 +158,10 @@
         }
         DiscoveryRetryPolicy.Timing timing = policy.timing();
         EndpointList.Query query = list.query();
-        Optional<ListLease.Check> check = lease.filter(held -> query.isWhole())
+        Optional<ListLease.Check> check = lease.filter(held -> query.isFull())
                 .map(held -> held.begin(!source.isConnected()));
         requestNanos = nanoClock.getAsLong();
-        source.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(timing.waitMs())),
+        source.sendRequest(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(timing.waitMs())),
                 timing.limitMs(), answer -> answered(query, check, answer));
     }
 
@@ -179,7 +179,7 @@
             check.ifPresent(ListLease.Check::answered);
         } else {
             retryLater(answer.map(a -> a.status().code()).orElse(0));
-            check.ifPresent(failed -> failed.failed(source.failedHere()));
+            check.ifPresent(failed -> failed.failed(source.failedLocally()));
         }
     }
 
--- a/src/main/java/starlingvalve/net/EndpointList.java
+++ b/src/main/java/starlingvalve/net/EndpointList.java
@@ -63,13 +63,13 @@
      * @param after the version after which changes are asked for; negative where the whole list is
      */
     record Query(long number, long after) {
-        boolean isWhole() {
+        boolean isFull() {
             return after < 0;
         }
 
         /** The path to ask; discovery may wait so long for a change before it answers. */
         String path(long waitMs) {
-            return isWhole() ? PATH : PATH + "?after=" + after + "&wait_ms=" + waitMs;
+            return isFull() ? PATH : PATH + "?after=" + after + "&wait_ms=" + waitMs;
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** Whether this is discovery's list, rather than what was known before it answered. */
-    boolean isDiscoverys() {
+    boolean isFromDiscovery() {
         return generation >= 0;
     }
 
@@ -124,13 +124,13 @@
     }
 
     /** Takes a whole list that is not discovery's own. */
-    void takeKnown(JsonNode known, Source source) {
+    void loadKnown(JsonNode known, Source source) {
         take(known, true, source);
     }
 
     /** Endpoints of a list that is not discovery's own are known to drain, or to be gone. */
-    void withdraw(Set<String> ids) {
-        if (isDiscoverys()) {
+    void markDraining(Set<String> ids) {
+        if (isFromDiscovery()) {
             return;
         }
         entries.replaceAll((id, entry) -> ids.contains(id) ? ((ObjectNode) entry.deepCopy()).put(LIFECYCLE, DRAINING)
@@ -169,10 +169,10 @@
     }
 
     private Result take(Query query, JsonNode news) {
-        boolean whole = query.isWhole() || news.path(RESET).asBoolean();
+        boolean whole = query.isFull() || news.path(RESET).asBoolean();
         long answered = news.path(GENERATION).asLong(UNKNOWN);
         boolean readable = news.path(GENERATION).isIntegralNumber() && news.path(INSTANCES).isArray();
-        boolean buildsOnList = whole || isDiscoverys() && answered >= query.after();
+        boolean buildsOnList = whole || isFromDiscovery() && answered >= query.after();
         if (!readable || !buildsOnList) {
             forgetGeneration();
             return Result.UNUSABLE;
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -249,7 +249,7 @@
     }
 
     private void startAfterPendingInput(Exchange exchange) {
-        inputBarrier.whenRead(() -> callbacks.runWhenListIsCurrent(exchange::start));
+        inputBarrier.runAfterPendingInput(() -> callbacks.runWhenListIsCurrent(exchange::start));
     }
 
     /** Stops waiting for a call; its connection is closed when no other call waits on it. */
@@ -565,7 +565,7 @@
          */
         private void connected(Connection newConnection) {
             newConnection.peer = peer;
-            callbacks.runWhenListIsCurrent(() -> inputBarrier.whenRead(() -> startOn(newConnection)));
+            callbacks.runWhenListIsCurrent(() -> inputBarrier.runAfterPendingInput(() -> startOn(newConnection)));
         }
 
         /**
@@ -593,11 +593,11 @@
             abandonUnless(call -> !call.held.endRead && call.mayBegin());
             if (dropAbandonedCalls()) {
                 target.keepIdle();
-            } else if (inputBarrier.isRecent()) {
+            } else if (inputBarrier.isInputRecent()) {
                 writeRequest(target);
             } else {
                 // Recording the calls took so long that input which forbids them may have arrived meanwhile.
-                inputBarrier.whenRead(() -> startOn(target));
+                inputBarrier.runAfterPendingInput(() -> startOn(target));
             }
         }
 
--- a/src/main/java/starlingvalve/net/InputBarrier.java
+++ b/src/main/java/starlingvalve/net/InputBarrier.java
@@ -30,7 +30,7 @@
     }
 
     /** Runs a task, never at once, when all input that has arrived by now is read. */
-    void whenRead(Runnable task) {
+    void runAfterPendingInput(Runnable task) {
         waiting.add(task);
         if (waiting.size() == 1) {
             passes = 0;
@@ -39,8 +39,8 @@
         }
     }
 
-    /** Whether what was read last is recent enough to write by; if not, {@link #whenRead} makes it so. */
-    boolean isRecent() {
+    /** Whether what was read last is recent enough to write by; if not, {@link #runAfterPendingInput} makes it so. */
+    boolean isInputRecent() {
         return nanos.getAsLong() - readUntil <= MAX_AGE_NANOS;
     }
 
@@ -52,7 +52,7 @@
 
     private void allRead(long until) {
         readUntil = until;
-        if (!isRecent()) {
+        if (!isInputRecent()) {
             if (passes < MAX_PASSES) {
                 readOn();
                 return;
--- a/src/main/java/starlingvalve/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -27,9 +27,9 @@
  */
 final class ListLease {
     /** Checks that may be out at once; each is waited for until so many later ones could have been made. */
-    static final int MOST_CHECKS = 4;
+    static final int MAX_CHECKS = 4;
     /** So many checks without an answer are enough to see that some are lost. */
-    private static final int MOST_PENDING = 2 * MOST_CHECKS;
+    private static final int MOST_PENDING = 2 * MAX_CHECKS;
     /** How long discovery may wait before it answers a check. */
     private static final long CHECK_WAIT_MS = 1;
 
@@ -37,7 +37,7 @@
     final class Check {
         private final long sentNanos = nanos.getAsLong();
         private final boolean onNewConnection;
-        private boolean failedHere;
+        private boolean failedLocally;
 
         private Check(boolean onNewConnection) {
             this.onNewConnection = onNewConnection;
@@ -51,7 +51,7 @@
                     // Requests are answered in their order, so those before it never will be.
                 }
                 if (lost) {
-                    whenLost.accept(sentNanos);
+                    onRequestsLost.accept(sentNanos);
                 }
             }
             answeredOnce = true;
@@ -62,13 +62,13 @@
 
         /** There will be no answer; {@code here}: since this machine could not make the connection. */
         void failed(boolean here) {
-            failedHere = here;
+            failedLocally = here;
             unanswered();
         }
 
         /** It has failed, or was not answered for as long as a reachable agent may take. */
         private void unanswered() {
-            boolean provesNothing = failedHere
+            boolean provesNothing = failedLocally
                     && isWithin(nanos.getAsLong(), unansweredSince, ListLeasePolicy.FAILURE_HERE_MS);
             if (onNewConnection && !provesNothing) {
                 silentAt = OptionalLong.of(Math.max(silentAt.orElse(sentNanos), sentNanos));
@@ -87,7 +87,7 @@
     private final List<Runnable> waiting = new ArrayList<>();
     /** Checks without an answer since the last one that had one, in the order in which they were sent. */
     private final Deque<Check> pending = new ArrayDeque<>();
-    private LongConsumer whenLost = sentBefore -> { };
+    private LongConsumer onRequestsLost = sentBefore -> { };
     private boolean answeredOnce;
     /** When the latest sent of the answered checks was sent. */
     private OptionalLong confirmedAt = OptionalLong.empty();
@@ -110,8 +110,8 @@
     }
 
     /** Called when requests to discovery are found to be lost: all that were sent before this time may be. */
-    void whenLost(LongConsumer task) {
-        whenLost = task;
+    void onRequestsLost(LongConsumer task) {
+        onRequestsLost = task;
     }
 
     /** Keeps the lease from now on, where it expires at all. */
@@ -138,14 +138,14 @@
     }
 
     /** Runs a task once calls may go out, always after the present one. */
-    void whenValid(Runnable task) {
+    void runWhenValid(Runnable task) {
         waiting.add(task);
         settleLater(0);
     }
 
     /** Discovery is at another address: what is known of the old one's silence means nothing. */
-    void moved(InetSocketAddress to) {
-        connections.forEach(connection -> connection.moved(to));
+    void changeAddress(InetSocketAddress to) {
+        connections.forEach(connection -> connection.changeAddress(to));
         confirmedAt = OptionalLong.empty();
         unansweredSince = OptionalLong.empty();
         silentAt = OptionalLong.empty();
@@ -182,8 +182,8 @@
         EndpointList.Query query = list.query();
         Check check = begin(!connection.isConnected());
         busy.add(connection);
-        connection.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(CHECK_WAIT_MS)),
-                MOST_CHECKS * policy.checkMs(), answer -> {
+        connection.sendRequest(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(CHECK_WAIT_MS)),
+                MAX_CHECKS * policy.checkMs(), answer -> {
                     busy.remove(connection);
                     ended(check, query, answer, connection);
                 });
@@ -192,7 +192,7 @@
     private void ended(Check check, EndpointList.Query query, Optional<FullHttpResponse> answer,
             Discovery.Source connection) {
         boolean answered = list.take(query, answer) != EndpointList.Result.UNUSABLE;
-        boolean here = connection.failedHere();
+        boolean here = connection.failedLocally();
         if (!answered || connection != connections.get(0)) {
             // One is kept: of several, all might have died without a sign when they are needed.
             connection.disconnect();
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -53,7 +53,7 @@
     }
 
     /** Tells the platform how this message ended; {@code heard} is called once it has answered. */
-    void owe(AcceptedMessage held) {
+    void enqueue(AcceptedMessage held) {
         owed.add(held);
         go();
     }
@@ -69,7 +69,7 @@
     }
 
     /** Tells how a message ended, whose end the other process still has to find. */
-    void tellOnce(AcceptedMessage held) {
+    void sendOnce(AcceptedMessage held) {
         if (paused) {
             untold.add(held);
             tellUntold();
@@ -99,8 +99,8 @@
     }
 
     /** The platform is at another address from now on. */
-    void moved(InetSocketAddress to) {
-        agent.moved(to);
+    void changeAddress(InetSocketAddress to) {
+        agent.changeAddress(to);
     }
 
     /** Notices that are not heard yet. */
@@ -128,9 +128,9 @@
                 body);
         if (paused) {
             told.forEach(held -> untold.remove());
-            agent.ask(request, SILENT_MS, answer -> answeredWhilePaused());
+            agent.sendRequest(request, SILENT_MS, answer -> answeredWhilePaused());
         } else {
-            agent.ask(request, SILENT_MS, answer -> answered(told, answer));
+            agent.sendRequest(request, SILENT_MS, answer -> answered(told, answer));
         }
     }
 
@@ -176,7 +176,7 @@
             tell();
         } else {
             events.add("notice-failed", "status", status, "notices", told.size(), "owed", owed.size(), "here",
-                    agent.failedHere());
+                    agent.failedLocally());
             loop.schedule(this::tell, PAUSE_MS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -235,7 +235,7 @@
         takeover = new Takeover(loop, config.state(), config.handover(), startRetry, new TakeoverCallbacks());
         EndpointList list = new EndpointList(this::endpointListChanged, events);
         List<Discovery.Source> checks = new ArrayList<>();
-        for (int i = 0; i < ListLease.MOST_CHECKS; i++) {
+        for (int i = 0; i < ListLease.MAX_CHECKS; i++) {
             checks.add(new AgentConnection(loop, discoveryAddress));
         }
         listLease = new ListLease(loop, System::nanoTime, config.listLease(), list, checks);
@@ -263,8 +263,8 @@
             state.get().path("endpoints").forEach(id -> registry.number(id.asText()));
             journal.reserve(state.get().path("numbers").asLong());
         }
-        state.ifPresent(node -> discovery.inherit(node.path("list")));
-        discovery.withdraw(journal.withdrawn());
+        state.ifPresent(node -> discovery.usePredecessorList(node.path("list")));
+        discovery.markDraining(journal.withdrawn());
         intake.drain(journal.drained());
         for (String endpoint : journal.maintained()) {
             policy.maintenance(openTurn(), registry.number(endpoint), true);
@@ -355,7 +355,7 @@
         for (AcceptedMessage accepted : journal.held()) {
             predecessorCalls.held(accepted);
             if (accepted.over) {
-                notices.owe(accepted);
+                notices.enqueue(accepted);
             } else {
                 addOpen(accepted);
                 accepted.told = acknowledged.test(accepted);
@@ -425,8 +425,8 @@
     private void discoveryAddressChanged(InetSocketAddress newAddress) {
         discoveryAddress = newAddress;
         if (discovery != null) {
-            discovery.moved(newAddress);
-            notices.moved(newAddress);
+            discovery.changeAddress(newAddress);
+            notices.changeAddress(newAddress);
         }
     }
 
@@ -447,7 +447,7 @@
     }
 
     private void replayNotice(AcceptedMessage accepted, long steadyNowMs) {
-        notices.owe(accepted);
+        notices.enqueue(accepted);
         int messageClass = config.classes().indexOf(accepted.messageClass);
         if (messageClass >= 0) {
             isolate(() -> policy.unheard(openTurn(),
@@ -531,7 +531,7 @@
         events.add("overdue-in-handover", "id", accepted.id, "class", accepted.messageClass, "attempts",
                 accepted.attempts.size());
         accepted.owed = Optional.of(finalNotice(accepted, FAULT_RETRY_AFTER_MS));
-        notices.tellOnce(accepted);
+        notices.sendOnce(accepted);
     }
 
     /** The notice that ends a message: bounced with a retry delay if it certainly has not run, otherwise failed. */
@@ -608,7 +608,7 @@
         }
         if (!turnAwaitsLease) {
             turnAwaitsLease = true;
-            listLease.whenValid(() -> {
+            listLease.runWhenValid(() -> {
                 turnAwaitsLease = false;
                 openTurn();
             });
@@ -681,7 +681,7 @@
         events.add("notice-owed", "id", accepted.id, "class", accepted.messageClass, "bounced", notice.bounced(),
                 "attempts", accepted.attempts.size(), "left_ms", accepted.deadlineMs - journal.clock().nowMs());
         journal.owed(accepted, notice);
-        notices.owe(accepted);
+        notices.enqueue(accepted);
     }
 
     // ---- events for the policy ----
@@ -698,7 +698,7 @@
             if (listLease.isValid()) {
                 task.run();
             } else {
-                listLease.whenValid(task);
+                listLease.runWhenValid(task);
             }
         }
 
@@ -839,7 +839,7 @@
             markEnded(accepted, Stats.End.SERVED);
             events.add("confirming", "id", accepted.id, "attempts", accepted.attempts.size());
             journal.confirming(accepted);
-            notices.owe(accepted);
+            notices.enqueue(accepted);
             isolate(() -> policy.confirming(openTurn(), accepted.number));
         }
     }
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -76,7 +76,7 @@
             throw new ChannelException("no descriptor is left");
         });
         CompletableFuture<Boolean> failedOnLoop = new CompletableFuture<>();
-        loop.submit(() -> agent.ask(request(), TimeUnit.MINUTES.toMillis(10),
+        loop.submit(() -> agent.sendRequest(request(), TimeUnit.MINUTES.toMillis(10),
                 answer -> failedOnLoop.complete(answer.isEmpty() && loop.inEventLoop()))).syncUninterruptibly();
         assertTrue(failedOnLoop.get(10, TimeUnit.SECONDS));
     }
@@ -95,11 +95,11 @@
         try (StubServer slow = new StubServer(held);
                 StubServer quick = new StubServer((request, socket) -> StubServer.write(socket, answer("")))) {
             CompletableFuture<Boolean> came = new CompletableFuture<>();
-            loop.execute(() -> new AgentConnection(loop, slow.address()).ask(request(), limitMs,
+            loop.execute(() -> new AgentConnection(loop, slow.address()).sendRequest(request(), limitMs,
                     answer -> came.complete(answer.isPresent())));
             StubServer.await("it is asked", () -> slow.requests.size() == 1);
             long asked = System.nanoTime();
-            loop.execute(() -> new AgentConnection(loop, quick.address()).ask(request(), limitMs, answer -> {
+            loop.execute(() -> new AgentConnection(loop, quick.address()).sendRequest(request(), limitMs, answer -> {
                 go.countDown();
                 try {
                     assertTrue(written.await(30, TimeUnit.SECONDS));
@@ -141,7 +141,7 @@
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
-                discovery.moved(fresh.address());
+                discovery.changeAddress(fresh.address());
             });
             StubServer.await("the new one is watched", () -> fresh.requests.stream()
                     .anyMatch(r -> r.line().contains("after=3")));
@@ -292,7 +292,7 @@
             try (StubServer stub = new StubServer(firstThenRefusals(SUCCESS + behind))) {
                 AgentConnection agent = new AgentConnection(loop, stub.address());
                 CompletableFuture<Integer> second = new CompletableFuture<>();
-                loop.execute(() -> agent.ask(request(), 25_000, first -> askForStatus(agent, second)));
+                loop.execute(() -> agent.sendRequest(request(), 25_000, first -> askForStatus(agent, second)));
                 assertEquals(503, second.get(30, TimeUnit.SECONDS));
                 assertEquals(1, stub.requests.get(1).connection(), "the connection is of no more use");
             }
@@ -306,7 +306,7 @@
             AgentConnection agent = new AgentConnection(loop, (InetSocketAddress) listener.getLocalSocketAddress());
             CompletableFuture<Boolean> came = new CompletableFuture<>();
             loop.execute(() -> {
-                agent.ask(request(), 25_000, response -> came.complete(response.isPresent()));
+                agent.sendRequest(request(), 25_000, response -> came.complete(response.isPresent()));
                 // The connect is a task of the loop too, and comes before this one.
                 loop.execute(() -> {
                     try {
@@ -321,7 +321,7 @@
     }
 
     private static void askForStatus(AgentConnection agent, CompletableFuture<Integer> status) {
-        agent.ask(request(), 25_000, response -> status.complete(response.map(r -> r.status().code()).orElse(0)));
+        agent.sendRequest(request(), 25_000, response -> status.complete(response.map(r -> r.status().code()).orElse(0)));
     }
 
     private int status(AgentConnection agent) throws Exception {
@@ -332,7 +332,7 @@
 
     private boolean responseCame(AgentConnection agent, long limitMs) throws Exception {
         CompletableFuture<Boolean> came = new CompletableFuture<>();
-        loop.execute(() -> agent.ask(request(), limitMs, response -> came.complete(response.isPresent())));
+        loop.execute(() -> agent.sendRequest(request(), limitMs, response -> came.complete(response.isPresent())));
         return came.get(30, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/starlingvalve/net/CombinedSoakTest.java
+++ b/src/test/java/starlingvalve/net/CombinedSoakTest.java
@@ -171,7 +171,7 @@
         for (int i = 0; i < count; i++) {
             Path own = Files.createDirectories(folder.resolve("n" + i));
             SoakNode node = new SoakNode(i, own, new Random(random.nextLong()), messages, () -> over);
-            node.agent().writeThrough(surplus::write);
+            node.agent().setAnswerWriter(surplus::write);
             nodes.add(node);
         }
         for (int i = 0; i < SERVERS; i++) {
--- a/src/test/java/starlingvalve/net/DiscoveryAgent.java
+++ b/src/test/java/starlingvalve/net/DiscoveryAgent.java
@@ -48,8 +48,8 @@
     /** Requests that wait for the next change. */
     private int watches;
     private volatile Consumer<StubServer.Message> beforeAnswer = request -> { };
-    private volatile Consumer<List<String>> beforeNoticed = lines -> { };
-    private volatile Consumer<List<String>> whenNoticed = lines -> { };
+    private volatile Consumer<List<String>> beforeNoticesAnswered = lines -> { };
+    private volatile Consumer<List<String>> afterNoticesAnswered = lines -> { };
     private volatile AnswerWriter writer = StubServer::write;
 
     DiscoveryAgent() throws IOException {
@@ -88,7 +88,7 @@
     }
 
     /** Discovery is out of reach: what is asked, or waits for an answer, is never answered. Tells from when on. */
-    synchronized long fallSilent() {
+    synchronized long becomeUnreachable() {
         silent = true;
         outages++;
         notifyAll();
@@ -96,7 +96,7 @@
     }
 
     /** Discovery can be reached again: what is asked from now on is answered. Tells from when on. */
-    synchronized long comeBack() {
+    synchronized long becomeReachable() {
         silent = false;
         return System.nanoTime();
     }
@@ -141,18 +141,18 @@
     }
 
     /** All its answers are written through this from now on. */
-    void writeThrough(AnswerWriter through) {
+    void setAnswerWriter(AnswerWriter through) {
         writer = through;
     }
 
     /** Called with the lines of notices that are about to be answered. */
-    void beforeNoticed(Consumer<List<String>> task) {
-        beforeNoticed = task;
+    void beforeNoticesAnswered(Consumer<List<String>> task) {
+        beforeNoticesAnswered = task;
     }
 
     /** Called with the lines of notices that were answered. */
-    void whenNoticed(Consumer<List<String>> task) {
-        whenNoticed = task;
+    void afterNoticesAnswered(Consumer<List<String>> task) {
+        afterNoticesAnswered = task;
     }
 
     /** The whole list as it stands. */
@@ -175,9 +175,9 @@
         if (request.line().startsWith("POST ")) {
             List<String> lines = request.body().lines().toList();
             notices.addAll(lines);
-            beforeNoticed.accept(lines);
+            beforeNoticesAnswered.accept(lines);
             writer.write(socket, "HTTP/1.1 204 x\r\n\r\n");
-            whenNoticed.accept(lines);
+            afterNoticesAnswered.accept(lines);
             return;
         }
         beforeAnswer.accept(request);
--- a/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
@@ -80,7 +80,7 @@
         private int failed;
         /** What becomes of the first request to a new address, if there is one. */
         private Optional<Failure> atNewAddress = Optional.empty();
-        private boolean moved;
+        private boolean changeAddress;
         private long returnedMs = -1;
         private long toldMs = -1;
 
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void ask(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+        public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
             requestsMs.add(nowMs);
             out = Optional.of(then);
             if (answersFirst && requestsMs.size() == 1) {
@@ -108,7 +108,7 @@
             } else if (returnedMs < 0) {
                 fail(outage.failure(failed), limitMs);
                 end(Return.AFTER_REQUEST);
-            } else if (moved && atNewAddress.isPresent()) {
+            } else if (changeAddress && atNewAddress.isPresent()) {
                 fail(atNewAddress.get(), limitMs);
                 atNewAddress = Optional.empty();
             } else if (connected) {
@@ -125,13 +125,13 @@
         }
 
         @Override
-        public void giveUp() {
+        public void cancelRequest() {
             throw new AssertionError("no lease tells of lost requests");
         }
 
         @Override
-        public void moved(InetSocketAddress to) {
-            moved = true;
+        public void changeAddress(InetSocketAddress to) {
+            changeAddress = true;
             disconnect();
             out.ifPresent(then -> complete(then, Optional.empty()));
         }
@@ -210,7 +210,7 @@
         long toldAfterMoveMs(Failure firstRequest) {
             atNewAddress = Optional.of(firstRequest);
             runUntil(() -> returnedMs >= 0);
-            discovery.moved(new InetSocketAddress("127.0.0.1", 1));
+            discovery.changeAddress(new InetSocketAddress("127.0.0.1", 1));
             stepUntil(() -> toldMs >= 0);
             return toldMs - returnedMs;
         }
@@ -277,10 +277,10 @@
                     "room for the pause: " + timing);
             assertTrue(timing.patienceMs() >= 2000, "patience with an overloaded discovery: " + timing);
         }
-        DiscoveryRetryPolicy.Timing moved = DiscoveryRetryPolicy.NEW_ADDRESS;
-        assertTrue(moved.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "in all: " + moved);
-        assertTrue(moved.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= moved.intervalMs(),
-                "room for the pause: " + moved);
+        DiscoveryRetryPolicy.Timing changeAddress = DiscoveryRetryPolicy.NEW_ADDRESS;
+        assertTrue(changeAddress.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "in all: " + changeAddress);
+        assertTrue(changeAddress.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= changeAddress.intervalMs(),
+                "room for the pause: " + changeAddress);
     }
 
     @Test
--- a/src/test/java/starlingvalve/net/DiscoveryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryTest.java
@@ -53,7 +53,7 @@
         loops.add(loop);
         Discovery.Source agent = new Discovery.Source() {
             @Override
-            public void ask(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+            public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
                 calls.add(now);
                 paths.add(request.uri());
                 out = true;
@@ -75,12 +75,12 @@
             }
 
             @Override
-            public void giveUp() {
+            public void cancelRequest() {
                 throw new AssertionError("no lease tells of lost requests");
             }
 
             @Override
-            public void moved(InetSocketAddress to) {
+            public void changeAddress(InetSocketAddress to) {
                 assertFalse(out, "nothing is out in a pause");
             }
         };
@@ -163,7 +163,7 @@
             pass(STEP_MS);
         }
         int before = calls.size();
-        discovery.moved(new InetSocketAddress("127.0.0.1", 1));
+        discovery.changeAddress(new InetSocketAddress("127.0.0.1", 1));
         assertEquals(before + 1, calls.size());
         pass(2000 + 200);
         assertEquals(before + 2, calls.size(), "its own failures count, not those of the old one");
--- a/src/test/java/starlingvalve/net/DrainProcessTest.java
+++ b/src/test/java/starlingvalve/net/DrainProcessTest.java
@@ -63,16 +63,16 @@
     @ValueSource(booleans = {false, true})
     void afterAnOutageNoCallGoesByTheListFromBefore(boolean startsInTheOutage) throws Exception {
         if (startsInTheOutage) {
-            agent.fallSilent();
+            agent.becomeUnreachable();
             sender.start();
             StubServer.await("the list is asked for", () -> !agent.requests().isEmpty());
         } else {
             sender.start();
             StubServer.await("the list is watched", () -> agent.watches() > 0);
-            agent.fallSilent();
+            agent.becomeUnreachable();
         }
         changePlaces();
-        agent.comeBack();
+        agent.becomeReachable();
         TimeUnit.MILLISECONDS.sleep(GRACE_MS);
         handIn("late", "safe");
         awaitAllEnded();
@@ -106,11 +106,11 @@
         changePlaces();
         sender.awaitEvent("server-state", "endpoint=s-0", "to=DRAINING");
         sender.kill();
-        agent.fallSilent();
+        agent.becomeUnreachable();
         sender.start();
         handIn("after", "safe");
         awaitAtMost(AT_ONCE_MS, () -> callsTo(0) > 0);
-        agent.comeBack();
+        agent.becomeReachable();
         awaitAllEnded();
         assertEquals(0, callsTo(0), "new work was sent to a draining server");
         assertEquals(1, callsTo(1));
--- a/src/test/java/starlingvalve/net/EndpointListTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListTest.java
@@ -89,7 +89,7 @@
     void changesUpToAVersionBeforeTheOneAskedForLeadToTheWholeList() {
         begin(9);
         assertEquals(Result.UNUSABLE, list.take(list.query(), answer(3, false, entry("s", "DRAINING"))));
-        assertTrue(list.query().isWhole());
+        assertTrue(list.query().isFull());
     }
 
     @Test
@@ -130,15 +130,15 @@
 
     @Test
     void whatAnEarlierProcessWasToldHoldsUntilDiscoveryAnswers() throws Exception {
-        list.takeKnown(
+        list.loadKnown(
                 HandoverConnection.JSON.readTree(
                         "{\"instances\":[" + entry("s", "SERVING") + "," + entry("t", "SERVING") + "]}"),
                 EndpointList.Source.CONFIGURATION);
-        list.withdraw(Set.of("s", "unknown"));
+        list.markDraining(Set.of("s", "unknown"));
         list.tell();
         assertEquals(Map.of("s", "draining", "t", "serving"), told);
         begin(1);
-        list.withdraw(Set.of("s"));
+        list.markDraining(Set.of("s"));
         list.tell();
         assertEquals(Map.of("s", "serving"), told);
     }
--- a/src/test/java/starlingvalve/net/InputBarrierTest.java
+++ b/src/test/java/starlingvalve/net/InputBarrierTest.java
@@ -42,8 +42,8 @@
     @Test
     void whatTheReadingQueuesBeforeRunsFirst() throws Exception {
         loop.submit(() -> {
-            barrier.whenRead(() -> ran.add("write"));
-            barrier.whenRead(() -> ran.add("second write"));
+            barrier.runAfterPendingInput(() -> ran.add("write"));
+            barrier.runAfterPendingInput(() -> ran.add("second write"));
             loop.execute(() -> ran.add("told in the same pass"));
         }).sync();
         awaitRun("told in the same pass", "write", "second write");
@@ -51,24 +51,24 @@
 
     @Test
     void whatWaitsAgainGoesOnAfterAnotherReading() throws Exception {
-        loop.execute(() -> barrier.whenRead(() -> barrier.whenRead(() -> ran.add("write"))));
+        loop.execute(() -> barrier.runAfterPendingInput(() -> barrier.runAfterPendingInput(() -> ran.add("write"))));
         awaitRun("write");
     }
 
     @Test
     void whatWasReadIsRecentForAWhile() throws Exception {
-        loop.execute(() -> barrier.whenRead(() -> ran.add("write")));
+        loop.execute(() -> barrier.runAfterPendingInput(() -> ran.add("write")));
         awaitRun("write");
         now.addAndGet(SHORT_NANOS);
-        assertTrue(loop.submit(barrier::isRecent).get());
+        assertTrue(loop.submit(barrier::isInputRecent).get());
         now.addAndGet(LONG_NANOS);
-        assertFalse(loop.submit(barrier::isRecent).get());
+        assertFalse(loop.submit(barrier::isInputRecent).get());
     }
 
     @Test
     void aLoopWhosePassesAreAllLongGoesOnAllTheSame() throws Exception {
         step = LONG_NANOS;
-        loop.execute(() -> barrier.whenRead(() -> ran.add("write")));
+        loop.execute(() -> barrier.runAfterPendingInput(() -> ran.add("write")));
         awaitRun("write");
         assertEquals(8, now.get() / LONG_NANOS - 1, "two looks at the clock in each of four passes, and one at the end");
     }
@@ -76,10 +76,10 @@
     @Test
     void whatWaitsBehindATaskThatFailsIsStillRun() throws Exception {
         loop.submit(() -> {
-            barrier.whenRead(() -> {
+            barrier.runAfterPendingInput(() -> {
                 throw new IllegalStateException("a fault of the test's");
             });
-            barrier.whenRead(() -> ran.add("write"));
+            barrier.runAfterPendingInput(() -> ran.add("write"));
             loop.schedule(() -> ran.add("later"), 100, TimeUnit.MILLISECONDS);
         }).sync();
         awaitRun("write", "later");
--- a/src/test/java/starlingvalve/net/ListLeaseTest.java
+++ b/src/test/java/starlingvalve/net/ListLeaseTest.java
@@ -32,7 +32,7 @@
     private final List<String> drained = new ArrayList<>();
     private final EndpointList list = new EndpointList((whole, entries) -> entries.stream()
             .filter(entry -> !entry.serving()).forEach(entry -> drained.add(entry.id())), EventLog.ofThisProcess());
-    private final List<Connection> connections = IntStream.range(0, ListLease.MOST_CHECKS)
+    private final List<Connection> connections = IntStream.range(0, ListLease.MAX_CHECKS)
             .mapToObj(i -> new Connection()).toList();
     private final List<String> asked = new ArrayList<>();
     private ListLease lease = lease(POLICY);
@@ -50,7 +50,7 @@
         private Optional<Consumer<Optional<FullHttpResponse>>> out = Optional.empty();
 
         @Override
-        public void ask(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+        public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
             asked.add(nowMs + " " + request.uri());
             boolean dead = open && keptAreDead;
             open = true;
@@ -81,16 +81,16 @@
         }
 
         @Override
-        public void giveUp() {
+        public void cancelRequest() {
             if (out.isPresent()) {
                 end(Optional.empty());
             }
         }
 
         @Override
-        public void moved(InetSocketAddress to) {
+        public void changeAddress(InetSocketAddress to) {
             open = false;
-            giveUp();
+            cancelRequest();
         }
     }
 
@@ -121,7 +121,7 @@
     /** The time until calls may go out, as somebody sees who waits for it. */
     private long waited() {
         boolean[] valid = new boolean[1];
-        lease.whenValid(() -> valid[0] = true);
+        lease.runWhenValid(() -> valid[0] = true);
         long begun = nowMs;
         while (!valid[0]) {
             pass(1);
@@ -253,7 +253,7 @@
     @Test
     void lostRequestsAreToldOfAndLateAnswersAreNot() {
         List<Long> lost = new ArrayList<>();
-        lease.whenLost(sentBefore -> lost.add(TimeUnit.NANOSECONDS.toMillis(sentBefore)));
+        lease.onRequestsLost(sentBefore -> lost.add(TimeUnit.NANOSECONDS.toMillis(sentBefore)));
         confirm();
         lease.start();
         answersAfterMs = OptionalLong.of(180);
@@ -287,7 +287,7 @@
         answersAfterMs = OptionalLong.empty();
         pass(500);
         waited();
-        lease.moved(new InetSocketAddress("127.0.0.1", 1));
+        lease.changeAddress(new InetSocketAddress("127.0.0.1", 1));
         answersAfterMs = OptionalLong.of(1);
         assertFalse(lease.isValid());
         confirm();
--- a/src/test/java/starlingvalve/net/ListSoakTest.java
+++ b/src/test/java/starlingvalve/net/ListSoakTest.java
@@ -197,14 +197,14 @@
     }
 
     private void outage(Random random, boolean withKill) throws Exception {
-        long from = agent.fallSilent();
+        long from = agent.becomeUnreachable();
         drains.note(from, "discovery falls silent");
         if (withKill) {
             pause(random.nextInt(300));
             killAndStart();
         }
         pause(200 + random.nextInt(LONGEST_OUTAGE_MS));
-        long to = agent.comeBack();
+        long to = agent.becomeReachable();
         drains.note(to, "discovery is back");
         drains.outage(from, to);
     }
--- a/src/test/java/starlingvalve/net/SenderProcessFixture.java
+++ b/src/test/java/starlingvalve/net/SenderProcessFixture.java
@@ -35,7 +35,7 @@
     @BeforeEach
     void open() throws Exception {
         agent = new DiscoveryAgent();
-        agent.whenNoticed(this::noticesHeard);
+        agent.afterNoticesAnswered(this::noticesHeard);
         for (int i = 0; i < endpointCount(); i++) {
             StubServer endpoint = new StubServer(SenderProcessFixture::accept);
             endpoints.add(endpoint);
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -106,8 +106,8 @@
         this.messages = messages;
         this.over = over;
         this.busy = number == 0 || random.nextBoolean();
-        agent.beforeNoticed(lines -> lines.forEach(line -> keyOrder.over(idOf(line), System.nanoTime())));
-        agent.whenNoticed(this::noticed);
+        agent.beforeNoticesAnswered(lines -> lines.forEach(line -> keyOrder.over(idOf(line), System.nanoTime())));
+        agent.afterNoticesAnswered(this::noticed);
     }
 
     private static int freePort() throws IOException {
@@ -410,11 +410,11 @@
         }
     }
 
-    private long fallSilent() throws InterruptedException {
+    private long becomeUnreachable() throws InterruptedException {
         while (true) {
             synchronized (agent) {
                 if (System.nanoTime() - listChangedNanos > TimeUnit.MILLISECONDS.toNanos(LIST_SETTLES_MS)) {
-                    return agent.fallSilent();
+                    return agent.becomeUnreachable();
                 }
             }
             TimeUnit.MILLISECONDS.sleep(RECONNECT_MS);
@@ -433,9 +433,9 @@
                     return;
                 }
                 meets(Fault.AGENT_SILENT);
-                long from = fallSilent();
+                long from = becomeUnreachable();
                 TimeUnit.MILLISECONDS.sleep(draw(LONGEST_SILENCE_MS));
-                drains.outage(from, agent.comeBack());
+                drains.outage(from, agent.becomeReachable());
                 note("discovery is back");
             }
         } catch (InterruptedException e) {
--- a/src/test/java/starlingvalve/net/SurplusAnswerTest.java
+++ b/src/test/java/starlingvalve/net/SurplusAnswerTest.java
@@ -189,16 +189,16 @@
         untilValid("HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", (stub, script) -> {
             AgentConnection agent = new AgentConnection(loop, stub.address());
             CompletableFuture<Integer> second = new CompletableFuture<>();
-            loop.execute(() -> ask(agent, new CompletableFuture<>(), () -> {
-                ask(agent, second, () -> { });
+            loop.execute(() -> sendRequest(agent, new CompletableFuture<>(), () -> {
+                sendRequest(agent, second, () -> { });
                 script.firstIsRead();
             }));
             assertEquals(503, second.get(END_MS, TimeUnit.MILLISECONDS));
         });
     }
 
-    private static void ask(AgentConnection agent, CompletableFuture<Integer> status, Runnable then) {
-        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"), (long) LONG_MS,
+    private static void sendRequest(AgentConnection agent, CompletableFuture<Integer> status, Runnable then) {
+        agent.sendRequest(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"), (long) LONG_MS,
                 answer -> {
                     status.complete(answer.map(a -> a.status().code()).orElse(0));
                     then.run();
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -107,7 +107,7 @@
         folder = LOGS.map(logs -> logs.resolve("seed-" + seed)).orElse(temporary);
         Files.createDirectories(folder.resolve("state"));
         agent = new DiscoveryAgent();
-        agent.whenNoticed(this::noticed);
+        agent.afterNoticesAnswered(this::noticed);
         classes = List.of(drawClass("safe", random), drawClass("keyed", random), drawClass("unsafe", random),
                 new MessageClass("hasty", 100, 2000 + random.nextInt(2000), "safe"));
         destinations = 2 + random.nextInt(4);
