--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -81,7 +81,7 @@
         this.list = list;
         this.lease = lease;
         this.nanoClock = nanoClock;
-        lease.ifPresent(held -> held.onRequestsLost(this::requestsLost));
+        lease.ifPresent(listLease -> listLease.onRequestsLost(this::requestsLost));
     }
 
     /** Loads the list of the configuration, if any, and starts to request the list from discovery. */
@@ -125,7 +125,7 @@
     }
 
     /**
-     * Marks endpoints as draining that drain or are gone according to the journal of an earlier process. The mark
+     * Marks endpoints as draining that drain or are deleted according to the journal of an earlier process. The mark
      * applies until discovery answers.
      */
     void markDraining(Set<String> endpoints) {
@@ -140,7 +140,7 @@
         events.add("discovery-moved", "address", Endpoints.hostPort(newAddress));
         list.forgetGeneration();
         source.changeAddress(newAddress);
-        lease.ifPresent(held -> held.changeAddress(newAddress));
+        lease.ifPresent(listLease -> listLease.changeAddress(newAddress));
         if (nextRequest != null) {
             // The back-off of the old address does not apply to the new one.
             nextRequest.cancel(false);
@@ -174,8 +174,8 @@
         }
         DiscoveryRetryPolicy.Timing timing = policy.timing();
         EndpointList.Query query = list.query();
-        Optional<ListLease.Check> check = lease.filter(held -> query.isFull())
-                .map(held -> held.startCheck(!source.isConnected()));
+        Optional<ListLease.Check> check = lease.filter(listLease -> query.isFull())
+                .map(listLease -> listLease.startCheck(!source.isConnected()));
         requestNanos = nanoClock.getAsLong();
         source.sendRequest(
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, query.path(timing.waitMs())),
--- a/src/main/java/starlingvalve/net/EndpointRegistry.java
+++ b/src/main/java/starlingvalve/net/EndpointRegistry.java
@@ -51,10 +51,10 @@
         listed.clear();
     }
 
-    /** Records that the list contains an endpoint, or, with {@code gone}, that it no longer does. */
-    void list(long number, long destination, boolean gone) {
+    /** Records that the list contains an endpoint, or, with {@code removed}, that it no longer does. */
+    void list(long number, long destination, boolean removed) {
         destinations.add(destination);
-        if (gone) {
+        if (removed) {
             listed.remove(number);
         } else {
             listed.add(number);
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The platform's agent over loopback sockets, and the watch over it, where events cross. */
+/** Tests the connection to the platform's agent, and the watch of discovery on it, over loopback sockets. */
 class AgentConnectionTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -42,7 +42,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    /** Watches through an agent, with no lease beside it. */
+    /** Creates a watch over a connection to the agent, without a lease on the list. */
     private Discovery discovery(StubServer agent, Random random, EndpointList.Listener listener) {
         return new Discovery(loop, new AgentConnection(loop, agent.address()), random,
                 new EndpointList(listener, EventLog.ofThisProcess()), Optional.empty(), System::nanoTime);
@@ -62,7 +62,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Waits until the loop has read all that had come to its sockets by now. */
+    /** Waits until the event loop has read all input that has arrived at its sockets by now. */
     private void awaitRead() throws Exception {
         CompletableFuture<Void> read = new CompletableFuture<>();
         loop.execute(() -> AfterPendingReads.next(loop, () -> read.complete(null)));
@@ -70,10 +70,10 @@
     }
 
     @Test
-    void aRequestForWhichThereIsNoSocketFailsAtOnceAndOnTheLoop() throws Exception {
+    void requestWithoutSocketFailsAtOnceOnEventLoop() throws Exception {
         AgentConnection agent =
                 new AgentConnection(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1), () -> {
-            throw new ChannelException("no descriptor is left");
+            throw new ChannelException("no file descriptors are left");
         });
         CompletableFuture<Boolean> failedOnLoop = new CompletableFuture<>();
         loop.submit(() -> agent.sendRequest(request(), TimeUnit.MINUTES.toMillis(10),
@@ -81,79 +81,85 @@
         assertTrue(failedOnLoop.get(10, TimeUnit.SECONDS));
     }
 
-    /** While the loop reads from one, the other's answer comes and its time passes: the time-out went first. */
+    /**
+     * While the event loop reads from one connection, the answer arrives on the other and its time limit passes. Guards
+     * against the time-out being handled before the answer is read.
+     */
     @Test
-    void anAnswerThatHasComeGoesBeforeItsTimeOut() throws Exception {
+    void arrivedAnswerIsHandledBeforeItsTimeOut() throws Exception {
         long limitMs = 2000;
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch writeAllowed = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        StubServer.Script held = (request, socket) -> {
-            go.await();
+        StubServer.Script delayed = (request, socket) -> {
+            writeAllowed.await();
             StubServer.write(socket, answer("late"));
             written.countDown();
         };
-        try (StubServer slow = new StubServer(held);
+        try (StubServer slow = new StubServer(delayed);
                 StubServer quick = new StubServer((request, socket) -> StubServer.write(socket, answer("")))) {
-            CompletableFuture<Boolean> came = new CompletableFuture<>();
+            CompletableFuture<Boolean> answered = new CompletableFuture<>();
             loop.execute(() -> new AgentConnection(loop, slow.address()).sendRequest(request(), limitMs,
-                    answer -> came.complete(answer.isPresent())));
-            StubServer.await("it is asked", () -> slow.requests.size() == 1);
-            long asked = System.nanoTime();
+                    answer -> answered.complete(answer.isPresent())));
+            StubServer.await("the request has arrived", () -> slow.requests.size() == 1);
+            long sentNanos = System.nanoTime();
             loop.execute(() -> new AgentConnection(loop, quick.address()).sendRequest(request(), limitMs, answer -> {
-                go.countDown();
+                writeAllowed.countDown();
                 try {
                     assertTrue(written.await(30, TimeUnit.SECONDS));
                 } catch (InterruptedException e) {
                     throw new AssertionError(e);
                 }
-                while (System.nanoTime() < asked + (limitMs + 5) * 1_000_000) {
+                while (System.nanoTime() < sentNanos + (limitMs + 5) * 1_000_000) {
                     Thread.onSpinWait();
                 }
             }));
-            assertTrue(came.get(30, TimeUnit.SECONDS));
+            assertTrue(answered.get(30, TimeUnit.SECONDS));
         }
     }
 
-    /** Discovery moves while half of the old one's answer is read: its rest is nobody's, and the new one is asked. */
+    /**
+     * The address of discovery changes while half of an answer from the old address is read: the rest of it is ignored,
+     * and the full list is requested at the new address.
+     */
     @Test
-    void aMoveThatCrossesHalfAnAnswerLeavesOnlyTheNewOnesList() throws Exception {
-        List<String> told = new CopyOnWriteArrayList<>();
-        List<Socket> half = new CopyOnWriteArrayList<>();
+    void addressChangeDuringPartialAnswerUsesOnlyNewList() throws Exception {
+        List<String> listedIds = new CopyOnWriteArrayList<>();
+        List<Socket> halfAnswered = new CopyOnWriteArrayList<>();
         String stale = answer(list(9, "stale"));
-        StubServer.Script halves = (request, socket) -> {
+        StubServer.Script answersHalf = (request, socket) -> {
             StubServer.write(socket, stale.substring(0, stale.length() / 2));
-            half.add(socket);
+            halfAnswered.add(socket);
         };
         StubServer.Script answers = (request, socket) -> {
             if (!request.line().contains("after=")) {
                 StubServer.write(socket, answer(list(3, "fresh")));
             }
         };
-        try (StubServer old = new StubServer(halves); StubServer fresh = new StubServer(answers)) {
-            Discovery discovery = discovery(old, new Random(1),
-                    (whole, entries) -> entries.forEach(e -> told.add(e.id())));
+        try (StubServer former = new StubServer(answersHalf); StubServer current = new StubServer(answers)) {
+            Discovery discovery = discovery(former, new Random(1),
+                    (full, entries) -> entries.forEach(e -> listedIds.add(e.id())));
             loop.execute(() -> discovery.start(Optional.empty()));
-            StubServer.await("half is written", () -> half.size() == 1);
+            StubServer.await("half of the answer is written", () -> halfAnswered.size() == 1);
             awaitRead();
             loop.execute(() -> {
                 try {
-                    StubServer.write(half.get(0), stale.substring(stale.length() / 2));
+                    StubServer.write(halfAnswered.get(0), stale.substring(stale.length() / 2));
                 } catch (Exception e) {
                     throw new AssertionError(e);
                 }
-                discovery.changeAddress(fresh.address());
+                discovery.changeAddress(current.address());
             });
-            StubServer.await("the new one is watched", () -> fresh.requests.stream()
+            StubServer.await("the new address is watched", () -> current.requests.stream()
                     .anyMatch(r -> r.line().contains("after=3")));
             awaitRead();
-            assertEquals(List.of("fresh"), told);
-            assertEquals("GET /v1/servers HTTP/1.1", fresh.requests.get(0).line());
+            assertEquals(List.of("fresh"), listedIds);
+            assertEquals("GET /v1/servers HTTP/1.1", current.requests.get(0).line());
         }
     }
 
-    /** The limit is one for the whole response: bytes that keep coming do not prolong it. */
+    /** The time limit applies to the complete response: bytes that keep arriving do not extend it. */
     @Test
-    void anEndlessTrickledResponseIsGivenUpAtItsLimit() throws Exception {
+    void endlessTrickledResponseEndsAtItsTimeLimit() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         StubServer.Script trickles = (request, socket) -> {
             try {
@@ -167,14 +173,14 @@
             }
         };
         try (StubServer stub = new StubServer(trickles)) {
-            assertFalse(responseCame(new AgentConnection(loop, stub.address()), 300));
+            assertFalse(isAnswered(new AgentConnection(loop, stub.address()), 300));
             assertTrue(closed.await(30, TimeUnit.SECONDS), "the connection is closed");
         }
     }
 
-    /** With its queue of new connections full, a listener drops what asks for one more. */
+    /** A listener whose queue of new connections is full drops further connection requests. */
     @Test
-    void aConnectThatHangsFailsLongBeforeTheRequestsLimit() throws Exception {
+    void hangingConnectFailsLongBeforeRequestLimit() throws Exception {
         List<SocketChannel> waiting = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = (InetSocketAddress) listener.getLocalSocketAddress();
@@ -185,8 +191,8 @@
                 channel.connect(address);
             }
             long started = System.nanoTime();
-            assertFalse(responseCame(new AgentConnection(loop, address), 25_000));
-            assertTrue(System.nanoTime() - started < 20_000_000_000L, "the connect has a limit of its own");
+            assertFalse(isAnswered(new AgentConnection(loop, address), 25_000));
+            assertTrue(System.nanoTime() - started < 20_000_000_000L, "connecting has its own time limit");
         } finally {
             for (SocketChannel channel : waiting) {
                 channel.close();
@@ -194,28 +200,28 @@
         }
     }
 
-    /** A kept connection may die in the pause without a sign, and would take the next request with it. */
+    /** A connection that stays open during the retry pause may break unnoticed, which would lose the next request. */
     @Test
-    void afterARefusedRequestTheNextOneOpensAnotherConnection() throws Exception {
+    void requestAfterErrorStatusUsesNewConnection() throws Exception {
         try (StubServer stub = new StubServer(StubServer.status(503, ""))) {
-            Discovery discovery = discovery(stub, new Random(1), (whole, entries) -> { });
+            Discovery discovery = discovery(stub, new Random(1), (full, entries) -> { });
             loop.execute(() -> discovery.start(Optional.empty()));
-            StubServer.await("it is asked again", () -> stub.requests.size() == 2);
+            StubServer.await("the second request has arrived", () -> stub.requests.size() == 2);
             assertEquals(1, stub.requests.get(1).connection());
         }
     }
 
-    /** Refused several times before, as pauses have grown, and with the longest pause after the silence. */
+    /** Error statuses come first, so that the pauses have grown, and the pause after the lost request is the longest. */
     @Test
-    void aChangeIsToldInTimeThoughTheRequestBeforeItWasLostAfterSeveralRefusedOnes() throws Exception {
-        int refusals = 4;
-        AtomicBoolean back = new AtomicBoolean();
-        AtomicLong backNanos = new AtomicLong();
-        CompletableFuture<Long> told = new CompletableFuture<>();
-        Random draws = new Random() {
+    void changeIsReceivedInTimeAfterErrorStatusesAndLostRequest() throws Exception {
+        int errorStatuses = 4;
+        AtomicBoolean recovered = new AtomicBoolean();
+        AtomicLong recoveredNanos = new AtomicLong();
+        CompletableFuture<Long> receivedNanos = new CompletableFuture<>();
+        Random random = new Random() {
             @Override
             public double nextDouble() {
-                return back.get() ? Math.nextDown(1.0) : 0;
+                return recovered.get() ? Math.nextDown(1.0) : 0;
             }
         };
         AtomicInteger requests = new AtomicInteger();
@@ -223,116 +229,117 @@
             int number = requests.incrementAndGet();
             if (number == 1) {
                 StubServer.write(socket, answer(list(1, "before")));
-            } else if (number <= 1 + refusals) {
+            } else if (number <= 1 + errorStatuses) {
                 StubServer.status(503, "").come(request, socket);
-            } else if (number == 2 + refusals) {
-                backNanos.set(System.nanoTime());
-                back.set(true);
+            } else if (number == 2 + errorStatuses) {
+                recoveredNanos.set(System.nanoTime());
+                recovered.set(true);
             } else {
                 StubServer.write(socket, answer(list(2, "after")));
             }
         };
         try (StubServer stub = new StubServer(script)) {
-            Discovery discovery = discovery(stub, draws, (whole, entries) -> {
+            Discovery discovery = discovery(stub, random, (full, entries) -> {
                 if (entries.get(0).id().equals("after")) {
-                    told.complete(System.nanoTime());
+                    receivedNanos.complete(System.nanoTime());
                 }
             });
             loop.execute(() -> discovery.start(Optional.empty()));
-            long tookMs = TimeUnit.NANOSECONDS.toMillis(told.get(30, TimeUnit.SECONDS) - backNanos.get());
-            assertTrue(tookMs <= 5500, "told after ms: " + tookMs);
+            long tookMs = TimeUnit.NANOSECONDS.toMillis(receivedNanos.get(30, TimeUnit.SECONDS) - recoveredNanos.get());
+            assertTrue(tookMs <= 5500, "change received after ms: " + tookMs);
         }
     }
 
-    private static final String REFUSAL = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n";
+    private static final String ERROR_STATUS = "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n";
     private static final String SUCCESS = "HTTP/1.1 204 x\r\n\r\n";
-    private static final String HALF_A_SUCCESS = "HTTP/1.1 204 N";
+    private static final String PARTIAL_SUCCESS = "HTTP/1.1 204 N";
 
-    /** Writes the first answer with what comes behind it, and a refusal from then on. */
-    private static StubServer.Script firstThenRefusals(String first) {
+    /** Writes the given bytes to the first request, and an error status to each later one. */
+    private static StubServer.Script firstThenErrorStatuses(String first) {
         AtomicInteger requests = new AtomicInteger();
-        return (request, socket) -> StubServer.write(socket, requests.getAndIncrement() == 0 ? first : REFUSAL);
+        return (request, socket) -> StubServer.write(socket, requests.getAndIncrement() == 0 ? first : ERROR_STATUS);
     }
 
     @Test
-    void halfALineOnARestingConnectionIsNoPartOfTheNextAnswer() throws Exception {
-        try (StubServer stub = new StubServer(firstThenRefusals(SUCCESS))) {
+    void partialLineOnIdleConnectionIsNotPartOfNextAnswer() throws Exception {
+        try (StubServer stub = new StubServer(firstThenErrorStatuses(SUCCESS))) {
             AgentConnection agent = new AgentConnection(loop, stub.address());
             assertEquals(204, status(agent));
-            stub.answerAll(HALF_A_SUCCESS);
+            stub.answerAll(PARTIAL_SUCCESS);
             awaitRead();
             assertEquals(503, status(agent));
-            assertEquals(1, stub.requests.get(1).connection(), "the connection is of no more use");
+            assertEquals(1, stub.requests.get(1).connection(), "a new connection is used");
         }
     }
 
-    /** The loop is held from before the bytes come until the next request is written. */
+    /** The event loop is blocked from before the bytes arrive until the next request is written. */
     @Test
-    void halfALineThatLiesUnreadIsNoPartOfTheNextAnswer() throws Exception {
-        try (StubServer stub = new StubServer(firstThenRefusals(SUCCESS))) {
+    void unreadPartialLineIsNotPartOfNextAnswer() throws Exception {
+        try (StubServer stub = new StubServer(firstThenErrorStatuses(SUCCESS))) {
             AgentConnection agent = new AgentConnection(loop, stub.address());
             assertEquals(204, status(agent));
             CompletableFuture<Integer> status = new CompletableFuture<>();
             loop.execute(() -> {
                 try {
-                    stub.answerAll(HALF_A_SUCCESS);
-                    askForStatus(agent, status);
+                    stub.answerAll(PARTIAL_SUCCESS);
+                    requestStatus(agent, status);
                 } catch (Exception e) {
                     status.completeExceptionally(e);
                 }
             });
             assertEquals(503, status.get(30, TimeUnit.SECONDS));
-            assertEquals(1, stub.requests.get(1).connection(), "the connection is of no more use");
+            assertEquals(1, stub.requests.get(1).connection(), "a new connection is used");
         }
     }
 
     @Test
-    void whatComesBehindAnAnswerIsNoPartOfTheNextOne() throws Exception {
-        for (String behind : List.of(HALF_A_SUCCESS, SUCCESS)) {
-            try (StubServer stub = new StubServer(firstThenRefusals(SUCCESS + behind))) {
+    void bytesAfterAnswerAreNotPartOfNextAnswer() throws Exception {
+        for (String bytesAfter : List.of(PARTIAL_SUCCESS, SUCCESS)) {
+            try (StubServer stub = new StubServer(firstThenErrorStatuses(SUCCESS + bytesAfter))) {
                 AgentConnection agent = new AgentConnection(loop, stub.address());
                 CompletableFuture<Integer> second = new CompletableFuture<>();
-                loop.execute(() -> agent.sendRequest(request(), 25_000, first -> askForStatus(agent, second)));
+                loop.execute(() -> agent.sendRequest(request(), 25_000, first -> requestStatus(agent, second)));
                 assertEquals(503, second.get(30, TimeUnit.SECONDS));
-                assertEquals(1, stub.requests.get(1).connection(), "the connection is of no more use");
+                assertEquals(1, stub.requests.get(1).connection(), "a new connection is used");
             }
         }
     }
 
-    /** The loop is held until the answer to nothing has come over the new connection. */
+    /** The event loop is blocked until an unsolicited answer has arrived on the new connection. */
     @Test
-    void aConnectionThatSpeaksBeforeItIsAskedIsNotUsed() throws Exception {
+    void connectionWithInputBeforeRequestIsNotUsed() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             AgentConnection agent = new AgentConnection(loop, (InetSocketAddress) listener.getLocalSocketAddress());
-            CompletableFuture<Boolean> came = new CompletableFuture<>();
+            CompletableFuture<Boolean> answered = new CompletableFuture<>();
             loop.execute(() -> {
-                agent.sendRequest(request(), 25_000, response -> came.complete(response.isPresent()));
-                // The connect is a task of the loop too, and comes before this one.
+                agent.sendRequest(request(), 25_000, response -> answered.complete(response.isPresent()));
+                // The connect is an earlier task of the event loop, so it runs before this one.
                 loop.execute(() -> {
                     try {
                         StubServer.write(listener.accept(), SUCCESS);
                     } catch (Exception e) {
-                        came.completeExceptionally(e);
+                        answered.completeExceptionally(e);
                     }
                 });
             });
-            assertFalse(came.get(30, TimeUnit.SECONDS));
+            assertFalse(answered.get(30, TimeUnit.SECONDS));
         }
     }
 
-    private static void askForStatus(AgentConnection agent, CompletableFuture<Integer> status) {
-        agent.sendRequest(request(), 25_000, response -> status.complete(response.map(r -> r.status().code()).orElse(0)));
+    private static void requestStatus(AgentConnection agent, CompletableFuture<Integer> status) {
+        agent.sendRequest(request(), 25_000,
+                response -> status.complete(response.map(r -> r.status().code()).orElse(0)));
     }
 
     private int status(AgentConnection agent) throws Exception {
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        loop.execute(() -> askForStatus(agent, status));
+        loop.execute(() -> requestStatus(agent, status));
         return status.get(30, TimeUnit.SECONDS);
     }
 
-    private boolean responseCame(AgentConnection agent, long limitMs) throws Exception {
-        CompletableFuture<Boolean> came = new CompletableFuture<>();
-        loop.execute(() -> agent.sendRequest(request(), limitMs, response -> came.complete(response.isPresent())));
-        return came.get(30, TimeUnit.SECONDS);
+    private boolean isAnswered(AgentConnection agent, long limitMs) throws Exception {
+        CompletableFuture<Boolean> answered = new CompletableFuture<>();
+        loop.execute(() -> agent.sendRequest(request(), limitMs, response -> answered.complete(response.isPresent())));
+        return answered.get(30, TimeUnit.SECONDS);
     }
 }
--- a/src/test/java/starlingvalve/net/DiscoveryAgent.java
+++ b/src/test/java/starlingvalve/net/DiscoveryAgent.java
@@ -14,9 +14,9 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in for discovery's agent on the sender's machine, by the protocol: a list with versions, answered whole, as
- * changes, or to a watch that waits for the next change. While it is silent it answers nothing about the list, and
- * what was asked by then is never answered; notices it answers at any time.
+ * A fake agent of discovery on the sender's machine, which implements the protocol: it serves a list with versions as a
+ * full list, as changes, or to a watch that waits for the next change. While it is unreachable it answers no request
+ * for the list, and requests that wait at that time are never answered; notices are always answered.
  */
 final class DiscoveryAgent implements AutoCloseable {
     static final String SERVING = "SERVING";
@@ -37,15 +37,16 @@
         void write(Socket socket, String answer) throws IOException;
     }
 
+    /** The lines of all notices received. */
     final List<String> notices = new CopyOnWriteArrayList<>();
-    /** Where it is now. */
+    /** The server at the current address. */
     private volatile StubServer stub;
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private int version = 1;
-    private boolean silent;
-    /** How often it has fallen silent. */
+    private boolean unreachable;
+    /** The number of times it became unreachable. */
     private int outages;
-    /** Requests that wait for the next change. */
+    /** The number of requests that wait for the next change. */
     private int watches;
     private volatile Consumer<StubServer.Message> beforeAnswer = request -> { };
     private volatile Consumer<List<String>> beforeNoticesAnswered = lines -> { };
@@ -53,7 +54,7 @@
     private volatile AnswerWriter writer = StubServer::write;
 
     DiscoveryAgent() throws IOException {
-        stub = new StubServer(this::come);
+        stub = new StubServer(this::handle);
     }
 
     InetSocketAddress address() {
@@ -64,22 +65,22 @@
         return stub.hostPort();
     }
 
-    /** What it was asked so far. */
+    /** The requests received at the current address. */
     List<StubServer.Message> requests() {
         return stub.requests;
     }
 
-    /** Lists a server, in the version that stands. */
+    /** Adds a server to the list in the current version. */
     synchronized void list(String id, String hostPort, String lifecycle) {
         list(id, hostPort, TestConfig.DESTINATION, lifecycle);
     }
 
-    /** The same for a destination of its own. */
+    /** Adds a server of the given destination to the list in the current version. */
     synchronized void list(String id, String hostPort, int destination, String lifecycle) {
         servers.put(id, new Server(id, hostPort, destination, lifecycle, version));
     }
 
-    /** The next version of the list: this server has this lifecycle now. */
+    /** Starts the next version of the list, in which the server has the given lifecycle. */
     synchronized void change(String id, String lifecycle) {
         version++;
         servers.computeIfPresent(id, (same, server) -> new Server(id, server.hostPort, server.destination,
@@ -87,27 +88,28 @@
         notifyAll();
     }
 
-    /** Discovery is out of reach: what is asked, or waits for an answer, is never answered. Tells from when on. */
+    /** Stops answering: waiting and new requests are never answered. Returns the time of the change in nanoseconds. */
     synchronized long becomeUnreachable() {
-        silent = true;
+        unreachable = true;
         outages++;
         notifyAll();
         return System.nanoTime();
     }
 
-    /** Discovery can be reached again: what is asked from now on is answered. Tells from when on. */
+    /** Answers new requests again. Returns the time of the change in nanoseconds. */
     synchronized long becomeReachable() {
-        silent = false;
+        unreachable = false;
         return System.nanoTime();
     }
 
-    /** Closes all connections that are open; it answers on new ones. */
+    /** Closes all open connections; new ones are accepted. */
     void closeConnections() throws IOException {
         stub.closeConnections();
     }
 
-    /** An address that it has left: what is open there goes on until it is closed. */
+    /** A former address: connections that are open there keep working until it is closed. */
     record Address(StubServer stub) {
+        /** Refuses new connections there, and closes the open ones after the given time. */
         void closeAfter(long ms) {
             Thread closer = new Thread(() -> {
                 try {
@@ -123,55 +125,55 @@
         }
     }
 
-    /** It is at another address from now on, with the same list; returns the old one. */
+    /** Moves to another address, with the same list; returns the former address. */
     Address move() throws IOException {
-        Address old = new Address(stub);
-        stub = new StubServer(this::come);
-        return old;
+        Address former = new Address(stub);
+        stub = new StubServer(this::handle);
+        return former;
     }
 
-    /** How many requests wait for the next change now. */
+    /** The number of requests that wait for the next change now. */
     synchronized int watches() {
         return watches;
     }
 
-    /** Called with each request about the list, before it is looked at. */
+    /** Sets a task that is called with each request for the list before it is processed. */
     void beforeAnswer(Consumer<StubServer.Message> task) {
         beforeAnswer = task;
     }
 
-    /** All its answers are written through this from now on. */
-    void setAnswerWriter(AnswerWriter through) {
-        writer = through;
+    /** Sets the writer of all further answers. */
+    void setAnswerWriter(AnswerWriter newWriter) {
+        writer = newWriter;
     }
 
-    /** Called with the lines of notices that are about to be answered. */
+    /** Sets a task that is called with the lines of notices that are about to be answered. */
     void beforeNoticesAnswered(Consumer<List<String>> task) {
         beforeNoticesAnswered = task;
     }
 
-    /** Called with the lines of notices that were answered. */
+    /** Sets a task that is called with the lines of notices that were answered. */
     void afterNoticesAnswered(Consumer<List<String>> task) {
         afterNoticesAnswered = task;
     }
 
-    /** The whole list as it stands. */
+    /** The current full list as the body of an answer. */
     synchronized String list() {
         return answer(true, 0);
     }
 
-    private String answer(boolean whole, int after) {
+    private String answer(boolean full, int after) {
         List<String> entries = new ArrayList<>();
         for (Server server : servers.values()) {
-            if (whole ? !server.lifecycle.equals(DELETED) : server.version > after) {
+            if (full ? !server.lifecycle.equals(DELETED) : server.version > after) {
                 entries.add(server.json());
             }
         }
-        return "{\"generation\":" + version + ",\"reset\":" + whole + ",\"instances\":[" + String.join(",", entries)
+        return "{\"generation\":" + version + ",\"reset\":" + full + ",\"instances\":[" + String.join(",", entries)
                 + "]}\n";
     }
 
-    private void come(StubServer.Message request, Socket socket) throws Exception {
+    private void handle(StubServer.Message request, Socket socket) throws Exception {
         if (request.line().startsWith("POST ")) {
             List<String> lines = request.body().lines().toList();
             notices.addAll(lines);
@@ -181,26 +183,26 @@
             return;
         }
         beforeAnswer.accept(request);
-        String body = await(request.line());
+        String body = awaitAnswer(request.line());
         if (body != null) {
             writer.write(socket, TestConfig.answer(body));
         }
     }
 
-    /** The answer to a request, once there is one; null if there will be none. */
-    private synchronized String await(String request) throws InterruptedException {
+    /** Waits until a request can be answered; returns the body of the answer, or null if there will be none. */
+    private synchronized String awaitAnswer(String request) throws InterruptedException {
         Matcher watch = WATCH.matcher(request);
-        boolean whole = !watch.matches();
-        int after = whole ? version : Integer.parseInt(watch.group(1));
-        long endNanos = System.nanoTime() + (whole ? 0 : TimeUnit.MILLISECONDS.toNanos(Long.parseLong(watch.group(2))));
+        boolean full = !watch.matches();
+        int after = full ? version : Integer.parseInt(watch.group(1));
+        long endNanos = System.nanoTime() + (full ? 0 : TimeUnit.MILLISECONDS.toNanos(Long.parseLong(watch.group(2))));
         int outagesBefore = outages;
         watches++;
-        while (!silent && version <= after && System.nanoTime() < endNanos) {
+        while (!unreachable && version <= after && System.nanoTime() < endNanos) {
             wait(1 + TimeUnit.NANOSECONDS.toMillis(Math.max(0, endNanos - System.nanoTime())));
         }
         watches--;
-        // What waited over an outage was lost in it, though it may be over by now.
-        return silent || outages != outagesBefore ? null : answer(whole, after);
+        // A request that waited during an outage is lost, even if the outage has ended since.
+        return unreachable || outages != outagesBefore ? null : answer(full, after);
     }
 
     @Override
--- a/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
@@ -24,48 +24,51 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How soon discovery is asked again after failed requests, on a clock that jumps from one due task to the next. A
- * change counts as told 6 s after discovery had it and could be reached, and 4 s after its address was replaced.
+ * Tests how soon discovery receives the next request after failed ones, with a clock that jumps from one due task to
+ * the next. The sender must have received a change within 6 s after discovery had it and was reachable, and within 4 s
+ * after the address of discovery was replaced.
  */
 class DiscoveryRetryTest {
-    private static final long TOLD_LIMIT_MS = 5500;
+    /** Time limit for a change to be received, with a margin below 6 s. */
+    private static final long CHANGE_LIMIT_MS = 5500;
     private static final long ADDRESS_CHANGE_LIMIT_MS = 4000;
-    /** How long a turn of a busy event loop takes. */
-    private static final long BUSY_TURN_MS = 250;
+    /** Duration of one pass of a busy event loop. */
+    private static final long BUSY_PASS_MS = 250;
     private static final long CONNECT_MS = 500;
     private static final long TEST_LIMIT_MS = 60_000;
     private static final String LIST = "{\"generation\":%d,\"reset\":true,\"instances\":[{\"instanceId\":\"%s\","
             + "\"hostPort\":\"127.0.0.1:7070\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":1,"
             + "\"lifecycle\":\"SERVING\",\"weight\":1.0,\"startedAtMs\":0}]}";
 
-    /** What becomes of a request during the outage. */
+    /** How a request fails during the outage. */
     private enum Failure { SILENT, CONNECT_REFUSED, CONNECT_HANGS, ERROR_STATUS, LATE_ERROR_STATUS, UNREADABLE }
 
-    /** When discovery has the change and can be reached: a request that is out then still fails. */
-    private enum Return { AFTER_REQUEST, AFTER_FAILURE }
+    /** The moment at which discovery has the change and is reachable; a request in flight at that time still fails. */
+    private enum Recovery { AFTER_REQUEST, AFTER_FAILURE }
 
-    /** An outage: how the requests fail one after another, and at which of them it ends. */
-    private record Outage(List<Failure> failures, int last, Return end) {
+    /** An outage: how its requests fail, in their order, and at which request it ends. */
+    private record Outage(List<Failure> failures, int lastRequest, Recovery end) {
         Failure failure(int request) {
             return failures.get(Math.min(request, failures.size() - 1));
         }
     }
 
-    /** Draws the same every time, or as a seed says. */
-    private static Random always(double draw) {
+    /** A random source that always returns the same number. */
+    private static Random always(double number) {
         return new Random() {
             @Override
             public double nextDouble() {
-                return draw;
+                return number;
             }
         };
     }
 
-    private static List<Supplier<Random>> draws() {
+    /** Constant and seeded random sources. */
+    private static List<Supplier<Random>> randoms() {
         return List.of(() -> always(Math.nextDown(1.0)), () -> always(0), () -> new Random(1), () -> new Random(2));
     }
 
-    /** A client, and a discovery that is out of reach until its outage ends. */
+    /** A sender, and a discovery that is unreachable until its outage ends. */
     private static final class Simulation implements Discovery.Source {
         private final EmbeddedChannel loop = new EmbeddedChannel();
         private final Outage outage;
@@ -75,23 +78,25 @@
         private final List<Long> requestsMs = new ArrayList<>();
         private long nowMs;
         private boolean connected;
-        /** Hears of the response to the request that is out. */
-        private Optional<Consumer<Optional<FullHttpResponse>>> out = Optional.empty();
-        private int failed;
-        /** What becomes of the first request to a new address, if there is one. */
-        private Optional<Failure> atNewAddress = Optional.empty();
-        private boolean changeAddress;
-        private long returnedMs = -1;
-        private long toldMs = -1;
+        /** The callback of the request in flight. */
+        private Optional<Consumer<Optional<FullHttpResponse>>> inFlight = Optional.empty();
+        private int failedRequests;
+        /** How the first request to a new address fails, if it does. */
+        private Optional<Failure> failureAtNewAddress = Optional.empty();
+        private boolean addressChanged;
+        /** The time at which the outage ended; negative before. */
+        private long recoveredMs = -1;
+        /** The time at which the sender received the change; negative before. */
+        private long receivedMs = -1;
 
         Simulation(Outage outage, boolean busy, boolean answersFirst, Random random) {
             this.outage = outage;
             this.busy = busy;
             this.answersFirst = answersFirst;
             loop.freezeTime();
-            EndpointList list = new EndpointList((whole, entries) -> {
-                if (toldMs < 0 && entries.get(0).id().equals("after")) {
-                    toldMs = nowMs;
+            EndpointList list = new EndpointList((full, entries) -> {
+                if (receivedMs < 0 && entries.get(0).id().equals("after")) {
+                    receivedMs = nowMs;
                 }
             }, EventLog.ofThisProcess());
             discovery = new Discovery(loop.eventLoop(), this, random, list, Optional.empty(),
@@ -99,23 +104,23 @@
         }
 
         @Override
-        public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
+        public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> callback) {
             requestsMs.add(nowMs);
-            out = Optional.of(then);
+            inFlight = Optional.of(callback);
             if (answersFirst && requestsMs.size() == 1) {
                 connected = true;
                 answerAfter(1, 200, String.format(LIST, 1, "before"));
-            } else if (returnedMs < 0) {
-                fail(outage.failure(failed), limitMs);
-                end(Return.AFTER_REQUEST);
-            } else if (changeAddress && atNewAddress.isPresent()) {
-                fail(atNewAddress.get(), limitMs);
-                atNewAddress = Optional.empty();
+            } else if (recoveredMs < 0) {
+                fail(outage.failure(failedRequests), limitMs);
+                endOutage(Recovery.AFTER_REQUEST);
+            } else if (addressChanged && failureAtNewAddress.isPresent()) {
+                fail(failureAtNewAddress.get(), limitMs);
+                failureAtNewAddress = Optional.empty();
             } else if (connected) {
-                // Kept from before the outage, which it did not outlive.
-                giveUpAfter(limitMs);
+                // The connection was opened before the outage and is broken since.
+                timeOutAfter(limitMs);
             } else {
-                answerAfter(CONNECT_MS + lateReadMs(), 200, String.format(LIST, 2, "after"));
+                answerAfter(CONNECT_MS + readDelayMs(), 200, String.format(LIST, 2, "after"));
             }
         }
 
@@ -126,20 +131,20 @@
 
         @Override
         public void cancelRequest() {
-            throw new AssertionError("no lease tells of lost requests");
+            throw new AssertionError("there is no lease to report lost requests");
         }
 
         @Override
-        public void changeAddress(InetSocketAddress to) {
-            changeAddress = true;
+        public void changeAddress(InetSocketAddress newAddress) {
+            addressChanged = true;
             disconnect();
-            out.ifPresent(then -> complete(then, Optional.empty()));
+            inFlight.ifPresent(callback -> complete(callback, Optional.empty()));
         }
 
         private void fail(Failure failure, long limitMs) {
             connected = failure.ordinal() >= Failure.ERROR_STATUS.ordinal();
             switch (failure) {
-                case SILENT -> giveUpAfter(limitMs);
+                case SILENT -> timeOutAfter(limitMs);
                 case CONNECT_REFUSED -> completeAfter(0, Optional.empty());
                 case CONNECT_HANGS -> completeAfter(CONNECT_MS, Optional.empty());
                 case ERROR_STATUS -> answerAfter(1, 503, "");
@@ -149,15 +154,15 @@
             }
         }
 
-        private void end(Return now) {
-            if (returnedMs < 0 && outage.end() == now && failed == outage.last()) {
-                returnedMs = nowMs;
+        private void endOutage(Recovery moment) {
+            if (recoveredMs < 0 && outage.end() == moment && failedRequests == outage.lastRequest()) {
+                recoveredMs = nowMs;
             }
         }
 
-        /** A time-out takes one more turn of the loop, in which what has come is read. */
-        private void giveUpAfter(long limitMs) {
-            completeAfter(limitMs + lateReadMs(), Optional.empty());
+        /** A time-out is delayed by one pass of the loop, in which arrived input is read. */
+        private void timeOutAfter(long limitMs) {
+            completeAfter(limitMs + readDelayMs(), Optional.empty());
         }
 
         private void answerAfter(long ms, int status, String body) {
@@ -166,53 +171,53 @@
         }
 
         private void completeAfter(long ms, Optional<FullHttpResponse> answer) {
-            Consumer<Optional<FullHttpResponse>> then = out.orElseThrow();
-            loop.eventLoop().schedule(() -> complete(then, answer), ms, TimeUnit.MILLISECONDS);
+            Consumer<Optional<FullHttpResponse>> callback = inFlight.orElseThrow();
+            loop.eventLoop().schedule(() -> complete(callback, answer), ms, TimeUnit.MILLISECONDS);
         }
 
-        private void complete(Consumer<Optional<FullHttpResponse>> then, Optional<FullHttpResponse> answer) {
-            if (out.isEmpty() || out.get() != then) {
+        private void complete(Consumer<Optional<FullHttpResponse>> callback, Optional<FullHttpResponse> answer) {
+            if (inFlight.isEmpty() || inFlight.get() != callback) {
                 return;
             }
-            boolean failure = returnedMs < 0 && !(answersFirst && requestsMs.size() == 1);
-            out = Optional.empty();
-            then.accept(answer);
+            boolean failure = recoveredMs < 0 && !(answersFirst && requestsMs.size() == 1);
+            inFlight = Optional.empty();
+            callback.accept(answer);
             if (failure) {
-                end(Return.AFTER_FAILURE);
-                failed++;
+                endOutage(Recovery.AFTER_FAILURE);
+                failedRequests++;
             }
         }
 
-        private long lateReadMs() {
-            return busy ? BUSY_TURN_MS : 0;
+        private long readDelayMs() {
+            return busy ? BUSY_PASS_MS : 0;
         }
 
-        /** To the next due task, or to the end of the busy loop's turn in which it falls due. */
+        /** Advances the clock to the next due task, or to the end of the busy loop's pass in which the task is due. */
         private void step() {
             long dueNanos = loop.runScheduledPendingTasks();
-            assertTrue(dueNanos >= 0, "something is always due");
+            assertTrue(dueNanos >= 0, "a task is always scheduled");
             long ms = Math.max(1, TimeUnit.NANOSECONDS.toMillis(dueNanos + 999_999));
             if (busy) {
-                ms = (ms + BUSY_TURN_MS - 1) / BUSY_TURN_MS * BUSY_TURN_MS;
+                ms = (ms + BUSY_PASS_MS - 1) / BUSY_PASS_MS * BUSY_PASS_MS;
             }
             nowMs += ms;
             loop.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
             loop.runScheduledPendingTasks();
         }
 
-        /** How long after the end of the outage the change is told. */
-        long toldAfterMs() {
-            runUntil(() -> toldMs >= 0);
-            return toldMs - returnedMs;
+        /** Runs until the change is received; returns the time from the end of the outage to then. */
+        long changeDelayMs() {
+            runUntil(() -> receivedMs >= 0);
+            return receivedMs - recoveredMs;
         }
 
-        /** How long after its address was replaced, which ends the outage, the change is told. */
-        long toldAfterMoveMs(Failure firstRequest) {
-            atNewAddress = Optional.of(firstRequest);
-            runUntil(() -> returnedMs >= 0);
+        /** Replaces the address, which ends the outage; returns the time from then until the change is received. */
+        long changeDelayAfterAddressChangeMs(Failure firstRequest) {
+            failureAtNewAddress = Optional.of(firstRequest);
+            runUntil(() -> recoveredMs >= 0);
             discovery.changeAddress(new InetSocketAddress("127.0.0.1", 1));
-            stepUntil(() -> toldMs >= 0);
-            return toldMs - returnedMs;
+            stepUntil(() -> receivedMs >= 0);
+            return receivedMs - recoveredMs;
         }
 
         void runUntil(BooleanSupplier end) {
@@ -222,7 +227,7 @@
 
         private void stepUntil(BooleanSupplier end) {
             while (!end.getAsBoolean()) {
-                assertTrue(nowMs < TEST_LIMIT_MS, "never came about");
+                assertTrue(nowMs < TEST_LIMIT_MS, "the expected state is never reached");
                 step();
             }
         }
@@ -238,9 +243,9 @@
         for (Failure first : Failure.values()) {
             for (Failure second : Failure.values()) {
                 for (Failure rest : Failure.values()) {
-                    for (int last : new int[] {0, 1, 2, 6}) {
-                        outages.add(new Outage(List.of(first, second, rest), last, Return.AFTER_REQUEST));
-                        outages.add(new Outage(List.of(first, second, rest), last, Return.AFTER_FAILURE));
+                    for (int lastRequest : new int[] {0, 1, 2, 6}) {
+                        outages.add(new Outage(List.of(first, second, rest), lastRequest, Recovery.AFTER_REQUEST));
+                        outages.add(new Outage(List.of(first, second, rest), lastRequest, Recovery.AFTER_FAILURE));
                     }
                 }
             }
@@ -248,13 +253,13 @@
         return outages;
     }
 
-    private static void assertToldInTime(boolean busy) {
+    private static void assertChangeInTime(boolean busy) {
         long worstMs = 0;
         String worst = "";
         for (Outage outage : outages()) {
-            for (Supplier<Random> draws : draws()) {
+            for (Supplier<Random> random : randoms()) {
                 for (boolean answersFirst : new boolean[] {true, false}) {
-                    long ms = new Simulation(outage, busy, answersFirst, draws.get()).toldAfterMs();
+                    long ms = new Simulation(outage, busy, answersFirst, random.get()).changeDelayMs();
                     if (ms > worstMs) {
                         worstMs = ms;
                         worst = outage + (answersFirst ? " after an answer" : " from the start");
@@ -262,47 +267,47 @@
                 }
             }
         }
-        assertTrue(worstMs <= TOLD_LIMIT_MS, "told after ms: " + worstMs + " with " + worst);
+        assertTrue(worstMs <= CHANGE_LIMIT_MS, "change received after ms: " + worstMs + " with " + worst);
     }
 
     @Test
-    void theLimitsOfEachRequestKeepTheBudget() {
+    void limitsOfEachRequestStayWithinBudget() {
         assertEquals(CONNECT_MS, AgentConnection.CONNECT_MS);
-        assertEquals(TOLD_LIMIT_MS, DiscoveryRetryPolicy.BUDGET_MS);
-        assertEquals(2 * BUSY_TURN_MS, DiscoveryRetryPolicy.LOOP_SLACK_MS);
+        assertEquals(CHANGE_LIMIT_MS, DiscoveryRetryPolicy.BUDGET_MS);
+        assertEquals(2 * BUSY_PASS_MS, DiscoveryRetryPolicy.LOOP_SLACK_MS);
         long afterInterval = AgentConnection.CONNECT_MS + DiscoveryRetryPolicy.LOOP_SLACK_MS;
         for (DiscoveryRetryPolicy.Timing timing : List.of(DiscoveryRetryPolicy.WATCH, DiscoveryRetryPolicy.PROMPT)) {
-            assertTrue(timing.intervalMs() + afterInterval <= TOLD_LIMIT_MS, "in all: " + timing);
+            assertTrue(timing.intervalMs() + afterInterval <= CHANGE_LIMIT_MS, "total: " + timing);
             assertTrue(timing.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= timing.intervalMs(),
                     "room for the pause: " + timing);
             assertTrue(timing.patienceMs() >= 2000, "patience with an overloaded discovery: " + timing);
         }
-        DiscoveryRetryPolicy.Timing changeAddress = DiscoveryRetryPolicy.NEW_ADDRESS;
-        assertTrue(changeAddress.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "in all: " + changeAddress);
-        assertTrue(changeAddress.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= changeAddress.intervalMs(),
-                "room for the pause: " + changeAddress);
+        DiscoveryRetryPolicy.Timing newAddress = DiscoveryRetryPolicy.NEW_ADDRESS;
+        assertTrue(newAddress.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "total: " + newAddress);
+        assertTrue(newAddress.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= newAddress.intervalMs(),
+                "room for the pause: " + newAddress);
     }
 
     @Test
-    void aChangeIsToldInTimeWhateverFailedBefore() {
-        assertToldInTime(false);
+    void changeIsReceivedInTimeAfterAnyFailures() {
+        assertChangeInTime(false);
     }
 
     @Test
-    void aChangeIsToldInTimeWhateverFailedBeforeAlsoWithABusyEventLoop() {
-        assertToldInTime(true);
+    void changeIsReceivedInTimeAfterAnyFailuresWithBusyEventLoop() {
+        assertChangeInTime(true);
     }
 
-    /** The first request to the new address may be lost, too: the second one still brings the change in time. */
+    /** The first request to the new address may also be lost: the second one still returns the change in time. */
     @Test
-    void aNewAddressTellsInTimeWhateverFailedBefore() {
+    void changeAtNewAddressIsReceivedInTimeAfterAnyFailures() {
         long worstMs = 0;
         String worst = "";
         for (Outage outage : outages()) {
             for (Failure first : Failure.values()) {
                 for (boolean busy : new boolean[] {true, false}) {
                     Simulation simulation = new Simulation(outage, busy, true, always(Math.nextDown(1.0)));
-                    long ms = simulation.toldAfterMoveMs(first);
+                    long ms = simulation.changeDelayAfterAddressChangeMs(first);
                     if (ms > worstMs) {
                         worstMs = ms;
                         worst = outage + ", first request: " + first + (busy ? ", busy loop" : "");
@@ -310,42 +315,43 @@
                 }
             }
         }
-        assertTrue(worstMs <= ADDRESS_CHANGE_LIMIT_MS, "told after ms: " + worstMs + " with " + worst);
+        assertTrue(worstMs <= ADDRESS_CHANGE_LIMIT_MS, "change received after ms: " + worstMs + " with " + worst);
     }
 
-    private static long mostWithin(long slotMs, List<Long> times) {
-        return times.stream().mapToLong(from -> times.stream()
-                .filter(at -> at >= from && at < from + slotMs).count()).max().orElse(0);
+    /** The largest number of the given times within one period of the given length. */
+    private static long maxCountWithin(long slotMs, List<Long> timesMs) {
+        return timesMs.stream().mapToLong(startMs -> timesMs.stream()
+                .filter(timeMs -> timeMs >= startMs && timeMs < startMs + slotMs).count()).max().orElse(0);
     }
 
-    /** The watches of all clients fall silent at one moment. */
+    /** Discovery stops answering the watches of all senders at the same moment. */
     @Test
-    void theRequestsOfManyClientsAreSpreadOverTheIntervalThatTheBudgetAllows() {
-        int clients = 100;
-        Outage silence = new Outage(List.of(Failure.SILENT), Integer.MAX_VALUE, Return.AFTER_FAILURE);
+    void requestsOfManySendersAreSpreadOverAllowedInterval() {
+        int senders = 100;
+        Outage silence = new Outage(List.of(Failure.SILENT), Integer.MAX_VALUE, Recovery.AFTER_FAILURE);
         List<Long> firstRetries = new ArrayList<>();
         List<Long> laterRetries = new ArrayList<>();
-        // Seeds of 64 random bits, as the configurations have them: the first draws of small seeds are much alike.
+        // Seeds of 64 random bits, as in the configurations: small seeds have very similar first random numbers.
         SplittableRandom seeds = new SplittableRandom(1);
-        for (int i = 0; i < clients; i++) {
-            Random draws = new Random(seeds.nextLong());
-            List<Long> requests = new Simulation(silence, false, true, draws).requestsUntil(30_000);
+        for (int i = 0; i < senders; i++) {
+            Random random = new Random(seeds.nextLong());
+            List<Long> requests = new Simulation(silence, false, true, random).requestsUntil(30_000);
             firstRetries.add(requests.get(2));
-            requests.stream().filter(at -> at >= 20_000 && at < 24_500).forEach(laterRetries::add);
+            requests.stream().filter(timeMs -> timeMs >= 20_000 && timeMs < 24_500).forEach(laterRetries::add);
         }
-        assertTrue(mostWithin(100, firstRetries) <= 45, "first retries: " + firstRetries);
-        assertTrue(mostWithin(500, laterRetries) <= 35, "later retries: " + laterRetries);
-        assertTrue(laterRetries.size() >= clients, "each client asks again: " + laterRetries.size());
+        assertTrue(maxCountWithin(100, firstRetries) <= 45, "first retries: " + firstRetries);
+        assertTrue(maxCountWithin(500, laterRetries) <= 35, "later retries: " + laterRetries);
+        assertTrue(laterRetries.size() >= senders, "each sender sends another request: " + laterRetries.size());
     }
 
     @Test
-    void discoveryThatFailsAtOnceIsNotAskedInATightLoop() {
+    void immediateFailuresDoNotCauseTightLoop() {
         for (Failure failure : List.of(Failure.ERROR_STATUS, Failure.CONNECT_REFUSED, Failure.UNREADABLE)) {
-            Outage outage = new Outage(List.of(failure), Integer.MAX_VALUE, Return.AFTER_FAILURE);
-            int most = new Simulation(outage, false, true, always(0)).requestsUntil(10_000).size();
-            assertTrue(most <= 102, failure + ", requests in 10 s: " + most);
-            int usual = new Simulation(outage, false, true, new Random(1)).requestsUntil(30_000).size();
-            assertTrue(usual <= 30, failure + ", requests in 30 s: " + usual);
+            Outage outage = new Outage(List.of(failure), Integer.MAX_VALUE, Recovery.AFTER_FAILURE);
+            int maxRequests = new Simulation(outage, false, true, always(0)).requestsUntil(10_000).size();
+            assertTrue(maxRequests <= 102, failure + ", requests in 10 s: " + maxRequests);
+            int typicalRequests = new Simulation(outage, false, true, new Random(1)).requestsUntil(30_000).size();
+            assertTrue(typicalRequests <= 30, failure + ", requests in 30 s: " + typicalRequests);
         }
     }
 }
--- a/src/test/java/starlingvalve/net/DiscoveryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryTest.java
@@ -23,7 +23,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The list of endpoints, on a clock that the test moves. */
+/** Tests how the list of endpoints is kept up to date, with a clock that the test advances. */
 class DiscoveryTest {
     private static final int SENDERS = 14;
     private static final long STEP_MS = 10;
@@ -32,71 +32,76 @@
             + "\"lifecycle\":\"SERVING\",\"weight\":1.0,\"startedAtMs\":0}]}";
 
     private final List<EmbeddedChannel> loops = new ArrayList<>();
-    /** When calls were made, over all senders. */
-    private final List<Long> calls = new ArrayList<>();
-    /** What they asked for. */
+    /** The times of the requests of all senders. */
+    private final List<Long> requestTimesMs = new ArrayList<>();
+    /** The paths of the requests of all senders. */
     private final List<String> paths = new ArrayList<>();
-    private final List<String> listed = new ArrayList<>();
-    private static final String NOTHING_NEW = "{\"generation\":2,\"reset\":false,\"instances\":[]}";
+    /** The entries that the listener received. */
+    private final List<String> received = new ArrayList<>();
+    private static final String NO_CHANGES = "{\"generation\":2,\"reset\":false,\"instances\":[]}";
 
+    /** The status of answers to watches. */
     private HttpResponseStatus watchStatus = HttpResponseStatus.OK;
-    private boolean nothingNew;
-    private long now;
-    private boolean out;
-    /** So many lists meet a fault. */
-    private int faults;
-
-    /** A sender's list, and an agent that answers after so long, or not at all. */
-    private Discovery sender(long seed, Optional<Long> answersAfterMs) {
+    /** Answers to watches contain no changes. */
+    private boolean watchesUnchanged;
+    private long nowMs;
+    /** A request is in flight. */
+    private boolean inFlight;
+    /** The number of times that the listener still fails. */
+    private int listenerFaults;
+
+    /** Creates a sender whose agent answers after the given delay, or never. */
+    private Discovery sender(long seed, Optional<Long> answerDelayMs) {
         EmbeddedChannel loop = new EmbeddedChannel();
         loop.freezeTime();
         loops.add(loop);
         Discovery.Source agent = new Discovery.Source() {
             @Override
-            public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
-                calls.add(now);
+            public void sendRequest(FullHttpRequest request, long limitMs,
+                    Consumer<Optional<FullHttpResponse>> callback) {
+                requestTimesMs.add(nowMs);
                 paths.add(request.uri());
-                out = true;
-                boolean inTime = answersAfterMs.filter(after -> after <= limitMs).isPresent();
+                inFlight = true;
+                boolean inTime = answerDelayMs.filter(delayMs -> delayMs <= limitMs).isPresent();
                 boolean watch = request.uri().contains("after=");
                 HttpResponseStatus status = watch ? watchStatus : HttpResponseStatus.OK;
-                String body = watch && nothingNew ? NOTHING_NEW : String.format(LIST, 2, "new");
+                String body = watch && watchesUnchanged ? NO_CHANGES : String.format(LIST, 2, "new");
                 FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                         Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
                 loop.eventLoop().schedule(() -> {
-                    out = false;
-                    then.accept(inTime ? Optional.of(answer) : Optional.empty());
-                }, inTime ? answersAfterMs.get() : limitMs, TimeUnit.MILLISECONDS);
+                    inFlight = false;
+                    callback.accept(inTime ? Optional.of(answer) : Optional.empty());
+                }, inTime ? answerDelayMs.get() : limitMs, TimeUnit.MILLISECONDS);
             }
 
             @Override
             public void disconnect() {
-                assertFalse(out, "nothing is out when a request has failed");
+                assertFalse(inFlight, "no request is in flight after one has failed");
             }
 
             @Override
             public void cancelRequest() {
-                throw new AssertionError("no lease tells of lost requests");
+                throw new AssertionError("there is no lease to report lost requests");
             }
 
             @Override
-            public void changeAddress(InetSocketAddress to) {
-                assertFalse(out, "nothing is out in a pause");
+            public void changeAddress(InetSocketAddress newAddress) {
+                assertFalse(inFlight, "no request is in flight during a pause");
             }
         };
-        EndpointList list = new EndpointList((whole, entries) -> {
-            if (faults-- > 0) {
-                throw new IllegalStateException("a fault while a list is told");
+        EndpointList list = new EndpointList((full, entries) -> {
+            if (listenerFaults-- > 0) {
+                throw new IllegalStateException("a fault made by the listener");
             }
-            entries.forEach(e -> listed.add((e.gone() ? "gone " : "") + e.id()));
+            entries.forEach(e -> received.add((e.gone() ? "gone " : "") + e.id()));
         }, EventLog.ofThisProcess());
         return new Discovery(loop.eventLoop(), agent, new Random(seed), list, Optional.empty(),
-                () -> TimeUnit.MILLISECONDS.toNanos(now));
+                () -> TimeUnit.MILLISECONDS.toNanos(nowMs));
     }
 
-    private void pass(long ms) {
-        for (long end = now + ms; now < end; ) {
-            now += STEP_MS;
+    private void advance(long ms) {
+        for (long endMs = nowMs + ms; nowMs < endMs; ) {
+            nowMs += STEP_MS;
             for (EmbeddedChannel loop : loops) {
                 loop.advanceTimeBy(STEP_MS, TimeUnit.MILLISECONDS);
                 loop.runScheduledPendingTasks();
@@ -104,77 +109,82 @@
         }
     }
 
-    /** Seen on herd+vast: asked by every sender each 0.6 s, an overbooked discovery never answered again. */
+    /**
+     * Guards against a failure observed in the scenario herd+vast: with a request from each sender every 0.6 s, an
+     * overloaded discovery never answered again.
+     */
     @Test
-    void aSilentDiscoveryIsAskedSeldomAndNotByAllSendersAtOnce() throws Exception {
+    void silentDiscoveryReceivesFewRequestsSpreadOverSenders() throws Exception {
         for (int i = 0; i < SENDERS; i++) {
             sender(i, Optional.empty()).start(Optional.empty());
         }
-        pass(30_000);
-        assertTrue(calls.size() <= SENDERS * 12, "calls in 30 s: " + calls.size());
-        assertTrue(calls.size() >= SENDERS * 5, "it is still asked: " + calls.size());
-        long together = calls.stream().filter(at -> at > 10_000).mapToLong(at -> calls.stream()
-                .filter(other -> other >= at && other < at + 100).count()).max().orElse(0);
-        assertTrue(together <= SENDERS / 2, "calls within 100 ms: " + together);
+        advance(30_000);
+        assertTrue(requestTimesMs.size() <= SENDERS * 12, "requests in 30 s: " + requestTimesMs.size());
+        assertTrue(requestTimesMs.size() >= SENDERS * 5, "requests continue: " + requestTimesMs.size());
+        long maxSimultaneous = requestTimesMs.stream().filter(timeMs -> timeMs > 10_000)
+                .mapToLong(timeMs -> requestTimesMs.stream()
+                .filter(other -> other >= timeMs && other < timeMs + 100).count()).max().orElse(0);
+        assertTrue(maxSimultaneous <= SENDERS / 2, "requests within 100 ms: " + maxSimultaneous);
     }
 
-    /** Nothing else ever asks again: a fault in one list left the sender with its last one for good. */
+    /** Without a next request after a fault in the listener the sender would keep its last list forever. */
     @Test
-    void afterAFaultWhileAListIsToldTheNextIsAskedForWhole() {
-        faults = 2;
+    void fullListIsRequestedAfterListenerFault() {
+        listenerFaults = 2;
         sender(1, Optional.of(100L)).start(Optional.empty());
-        pass(1500);
-        assertEquals(List.of("new"), listed.subList(0, 1));
+        advance(1500);
+        assertEquals(List.of("new"), received.subList(0, 1));
     }
 
     @Test
-    void afterAWatchThatDiscoveryCantServeTheWholeListIsAskedFor() {
+    void fullListIsRequestedAfterWatchFailsWithClientError() {
         watchStatus = HttpResponseStatus.GONE;
         sender(1, Optional.of(100L)).start(Optional.empty());
-        pass(3000);
+        advance(3000);
         assertEquals(List.of("/v1/servers", "/v1/servers?after=2&wait_ms=2000", "/v1/servers"), paths.subList(0, 3));
     }
 
-    /** A watch goes on if the next call comes within 200 ms. */
+    /** The watch is continuous if the next request follows within 200 ms. */
     @Test
-    void aDiscoveryThatAnswersAtOnceWithNothingNewIsNotAskedInATightLoop() {
-        nothingNew = true;
+    void immediateAnswersWithoutChangesDoNotCauseTightLoop() {
+        watchesUnchanged = true;
         sender(1, Optional.of(1L)).start(Optional.empty());
-        pass(3000);
-        assertTrue(calls.size() <= 30 + 1, "calls in 3 s: " + calls.size());
-        for (int i = 2; i < calls.size(); i++) {
-            assertTrue(calls.get(i) - calls.get(i - 1) < 200, "the watch goes on");
+        advance(3000);
+        assertTrue(requestTimesMs.size() <= 30 + 1, "requests in 3 s: " + requestTimesMs.size());
+        for (int i = 2; i < requestTimesMs.size(); i++) {
+            assertTrue(requestTimesMs.get(i) - requestTimesMs.get(i - 1) < 200, "the watch continues");
         }
     }
 
     @Test
-    void anEndpointThatIsGoneNeedsNoAddress() throws Exception {
+    void deletedEndpointNeedsNoAddress() throws Exception {
         sender(1, Optional.empty()).start(Optional.of(JsonMapper.builder().build().readTree(
                 "{\"instances\":[{\"instanceId\":\"s-1\",\"lifecycle\":\"DELETED\"}]}")));
-        assertEquals(List.of("gone s-1"), listed);
+        assertEquals(List.of("gone s-1"), received);
     }
 
-    /** What a new address tells counts as told after 4 s, and a pause alone could take 3.2 s of that. */
+    /** A change must be applied within 4 s after an address change; a retry pause alone could take 3.2 s of that. */
     @Test
-    void aNewAddressIsAskedAtOnceHoweverLongTheOldOneWasSilent() {
+    void newAddressIsRequestedAtOnceAfterLongSilenceOfOldOne() {
         Discovery discovery = sender(1, Optional.empty());
         discovery.start(Optional.empty());
-        while (now < 20_000 || out) {
-            pass(STEP_MS);
+        while (nowMs < 20_000 || inFlight) {
+            advance(STEP_MS);
         }
-        int before = calls.size();
+        int requestsBefore = requestTimesMs.size();
         discovery.changeAddress(new InetSocketAddress("127.0.0.1", 1));
-        assertEquals(before + 1, calls.size());
-        pass(2000 + 200);
-        assertEquals(before + 2, calls.size(), "its own failures count, not those of the old one");
+        assertEquals(requestsBefore + 1, requestTimesMs.size());
+        advance(2000 + 200);
+        assertEquals(requestsBefore + 2, requestTimesMs.size(),
+                "the back-off starts anew, without the failures of the old address");
     }
 
     @Test
-    void anAnswerThatIsLateForAllThatAreAskedIsTakenAndWhatIsKnownServesTillThen() throws Exception {
+    void knownListIsUsedUntilLateAnswerIsApplied() throws Exception {
         JsonNode known = JsonMapper.builder().build().readTree(String.format(LIST, 1, "known"));
         sender(1, Optional.of(1500L)).start(Optional.of(known));
-        assertEquals(List.of("known"), listed, "at once");
-        pass(1600);
-        assertEquals(List.of("known", "new"), listed);
+        assertEquals(List.of("known"), received, "at once");
+        advance(1600);
+        assertEquals(List.of("known", "new"), received);
     }
 }
--- a/src/test/java/starlingvalve/net/EndpointListTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListTest.java
@@ -17,15 +17,16 @@
 import starlingvalve.net.EndpointList.Query;
 import starlingvalve.net.EndpointList.Result;
 
-/** The list of endpoints under answers in any order and of any form. */
+/** Tests how the list of endpoints applies answers in any order, and incomplete or unreadable ones. */
 class EndpointListTest {
-    /** What the sender was told: the lifecycle of each endpoint, by id. */
-    private final Map<String, String> told = new TreeMap<>();
-    private final EndpointList list = new EndpointList((whole, entries) -> {
-        if (whole) {
-            told.clear();
+    /** The lifecycle of each endpoint by id, as the listener received it. */
+    private final Map<String, String> lifecycles = new TreeMap<>();
+    private final EndpointList list = new EndpointList((full, entries) -> {
+        if (full) {
+            lifecycles.clear();
         }
-        entries.forEach(entry -> told.put(entry.id(), entry.gone() ? "gone" : entry.serving() ? "serving" : "draining"));
+        entries.forEach(entry -> lifecycles.put(entry.id(),
+                entry.gone() ? "gone" : entry.serving() ? "serving" : "draining"));
     }, EventLog.ofThisProcess());
 
     private static Optional<FullHttpResponse> answer(int generation, boolean reset, String... entries) {
@@ -43,103 +44,103 @@
     }
 
     private static String entry(String id, String lifecycle, String hostPort) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + hostPort + "\",\"cell\":7,\"lifecycle\":\"" + lifecycle
-                + "\"}";
+        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + hostPort + "\",\"cell\":7,\"lifecycle\":\""
+                + lifecycle + "\"}";
     }
 
-    private void begin(int generation) {
-        assertEquals(Result.CHANGED, list.take(list.query(), answer(generation, true, entry("s", "SERVING"))));
+    private void applyFullList(int generation) {
+        assertEquals(Result.CHANGED, list.apply(list.query(), answer(generation, true, entry("s", "SERVING"))));
     }
 
     @Test
-    void anAnswerThatANewerOneHasOvertakenChangesNothing() {
-        begin(1);
+    void answerOlderThanAppliedOneIsIgnored() {
+        applyFullList(1);
         Query watch = list.query();
         Query check = list.query();
-        assertEquals(Result.CHANGED, list.take(check, answer(3, false, entry("s", "DRAINING"))));
-        assertEquals(Result.UNCHANGED, list.take(watch, answer(2, false, entry("s", "SERVING"))));
-        assertEquals(Map.of("s", "draining"), told);
+        assertEquals(Result.CHANGED, list.apply(check, answer(3, false, entry("s", "DRAINING"))));
+        assertEquals(Result.UNCHANGED, list.apply(watch, answer(2, false, entry("s", "SERVING"))));
+        assertEquals(Map.of("s", "draining"), lifecycles);
         assertEquals(3, list.generation());
     }
 
     @Test
-    void theAnswerToAnEarlierRequestCountsIfItIsTheNewer() {
-        begin(1);
+    void newerAnswerToEarlierRequestIsApplied() {
+        applyFullList(1);
         Query watch = list.query();
         Query check = list.query();
-        assertEquals(Result.UNCHANGED, list.take(check, answer(1, false)));
-        assertEquals(Result.CHANGED, list.take(watch, answer(2, false, entry("s", "DRAINING"))));
-        assertEquals(Map.of("s", "draining"), told);
+        assertEquals(Result.UNCHANGED, list.apply(check, answer(1, false)));
+        assertEquals(Result.CHANGED, list.apply(watch, answer(2, false, entry("s", "DRAINING"))));
+        assertEquals(Map.of("s", "draining"), lifecycles);
     }
 
     @Test
-    void aWholeListThatIsOvertakenChangesNothingAndOneThatCountsAnewDoes() {
+    void outdatedFullListIsIgnoredButOneWithRestartedVersionsIsApplied() {
         Query first = list.query();
         Query second = list.query();
-        list.take(second, answer(5, true, entry("s", "DRAINING")));
-        assertEquals(Result.UNCHANGED, list.take(first, answer(4, true, entry("s", "SERVING"))));
-        assertEquals(Map.of("s", "draining"), told);
-        list.take(list.query(), answer(2, true, entry("t", "SERVING")));
-        assertEquals(Map.of("t", "serving"), told);
+        list.apply(second, answer(5, true, entry("s", "DRAINING")));
+        assertEquals(Result.UNCHANGED, list.apply(first, answer(4, true, entry("s", "SERVING"))));
+        assertEquals(Map.of("s", "draining"), lifecycles);
+        list.apply(list.query(), answer(2, true, entry("t", "SERVING")));
+        assertEquals(Map.of("t", "serving"), lifecycles);
         assertEquals(2, list.generation());
     }
 
-    /** A discovery that counts anew without saying so: nothing can be built upon. */
+    /** Discovery restarts its versions without sending a full list, so its changes do not apply to the held list. */
     @Test
-    void changesUpToAVersionBeforeTheOneAskedForLeadToTheWholeList() {
-        begin(9);
-        assertEquals(Result.UNUSABLE, list.take(list.query(), answer(3, false, entry("s", "DRAINING"))));
+    void changesOlderThanRequestedVersionLeadToFullListRequest() {
+        applyFullList(9);
+        assertEquals(Result.UNUSABLE, list.apply(list.query(), answer(3, false, entry("s", "DRAINING"))));
         assertTrue(list.query().isFull());
     }
 
     @Test
-    void afterAnAnswerThatCantBeReadChangesWaitForTheWholeList() {
-        begin(1);
+    void afterUnreadableAnswerChangesAreIgnoredUntilFullList() {
+        applyFullList(1);
         Query watch = list.query();
-        assertEquals(Result.UNUSABLE, list.take(list.query(), body("{\"generation\":2,\"inst")));
-        assertEquals(Result.UNUSABLE, list.take(watch, answer(3, false, entry("t", "SERVING"))));
-        assertEquals(Map.of("s", "serving"), told);
-        begin(3);
+        assertEquals(Result.UNUSABLE, list.apply(list.query(), body("{\"generation\":2,\"inst")));
+        assertEquals(Result.UNUSABLE, list.apply(watch, answer(3, false, entry("t", "SERVING"))));
+        assertEquals(Map.of("s", "serving"), lifecycles);
+        applyFullList(3);
         assertEquals(3, list.generation());
     }
 
     @Test
-    void thatAnEndpointDrainsHoldsWhateverElseOfItsEntryCanBeRead() {
-        begin(1);
-        list.take(list.query(), answer(2, false, entry("s", "DRAINING", "nowhere")));
-        assertEquals(Map.of("s", "draining"), told);
-        list.take(list.query(), answer(3, false, "{\"instanceId\":\"s\",\"lifecycle\":\"SERVING\"}"));
-        assertEquals(Map.of("s", "draining"), told, "it can't be called there");
+    void drainingEntryWithUnreadableAddressIsApplied() {
+        applyFullList(1);
+        list.apply(list.query(), answer(2, false, entry("s", "DRAINING", "nowhere")));
+        assertEquals(Map.of("s", "draining"), lifecycles);
+        list.apply(list.query(), answer(3, false, "{\"instanceId\":\"s\",\"lifecycle\":\"SERVING\"}"));
+        assertEquals(Map.of("s", "draining"), lifecycles, "without an address it can't be called");
     }
 
     @Test
-    void aChangeNeedNotRepeatWhatHasNotChanged() {
-        begin(1);
-        list.take(list.query(), answer(2, false, "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\"}"));
+    void changedEntryMayOmitUnchangedFields() {
+        applyFullList(1);
+        list.apply(list.query(), answer(2, false, "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\"}"));
         assertEquals(7, list.toJson().path("instances").get(0).path("cell").asInt());
-        list.take(list.query(), answer(3, false, "{\"instanceId\":\"s\",\"lifecycle\":\"SERVING\"}"));
-        assertEquals(Map.of("s", "serving"), told);
+        list.apply(list.query(), answer(3, false, "{\"instanceId\":\"s\",\"lifecycle\":\"SERVING\"}"));
+        assertEquals(Map.of("s", "serving"), lifecycles);
     }
 
     @Test
-    void anEndpointThatIsMissingFromAWholeListIsGone() {
-        begin(1);
-        list.take(list.query(), answer(2, true, entry("t", "SERVING")));
-        assertEquals(Map.of("t", "serving"), told);
+    void endpointMissingFromFullListIsRemoved() {
+        applyFullList(1);
+        list.apply(list.query(), answer(2, true, entry("t", "SERVING")));
+        assertEquals(Map.of("t", "serving"), lifecycles);
     }
 
     @Test
-    void whatAnEarlierProcessWasToldHoldsUntilDiscoveryAnswers() throws Exception {
+    void drainsKnownToEarlierProcessApplyUntilDiscoveryAnswers() throws Exception {
         list.loadKnown(
                 HandoverConnection.JSON.readTree(
                         "{\"instances\":[" + entry("s", "SERVING") + "," + entry("t", "SERVING") + "]}"),
                 EndpointList.Source.CONFIGURATION);
         list.markDraining(Set.of("s", "unknown"));
-        list.tell();
-        assertEquals(Map.of("s", "draining", "t", "serving"), told);
-        begin(1);
+        list.notifyListener();
+        assertEquals(Map.of("s", "draining", "t", "serving"), lifecycles);
+        applyFullList(1);
         list.markDraining(Set.of("s"));
-        list.tell();
-        assertEquals(Map.of("s", "serving"), told);
+        list.notifyListener();
+        assertEquals(Map.of("s", "serving"), lifecycles);
     }
 }
--- a/src/test/java/starlingvalve/net/InputBarrierTest.java
+++ b/src/test/java/starlingvalve/net/InputBarrierTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** When what waits for the reading of all input goes on, by a clock that stands still between its steps. */
+/** Tests when tasks that wait for pending input run, with a clock that advances only as the test sets it. */
 class InputBarrierTest {
     private static final long LONG_NANOS = TimeUnit.MILLISECONDS.toNanos(30);
     private static final long SHORT_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
     private final EventExecutor loop = new DefaultEventLoop();
-    private final AtomicLong now = new AtomicLong();
-    /** How much later each look at the clock finds it. */
-    private volatile long step;
-    private final InputBarrier barrier = new InputBarrier(loop, () -> now.getAndAdd(step));
-    /** Used on the loop. */
+    private final AtomicLong nowNanos = new AtomicLong();
+    /** How far each read of the clock advances it. */
+    private volatile long stepNanos;
+    private final InputBarrier barrier = new InputBarrier(loop, () -> nowNanos.getAndAdd(stepNanos));
+    /** Names of the tasks that have run; used only on the event loop. */
     private final List<String> ran = new ArrayList<>();
 
     @AfterEach
@@ -40,44 +40,44 @@
     }
 
     @Test
-    void whatTheReadingQueuesBeforeRunsFirst() throws Exception {
+    void tasksQueuedWhileReadingRunFirst() throws Exception {
         loop.submit(() -> {
             barrier.runAfterPendingInput(() -> ran.add("write"));
             barrier.runAfterPendingInput(() -> ran.add("second write"));
-            loop.execute(() -> ran.add("told in the same pass"));
+            loop.execute(() -> ran.add("queued in the same pass"));
         }).sync();
-        awaitRun("told in the same pass", "write", "second write");
+        awaitRun("queued in the same pass", "write", "second write");
     }
 
     @Test
-    void whatWaitsAgainGoesOnAfterAnotherReading() throws Exception {
+    void taskAddedByWaitingTaskRunsAfterAnotherRead() throws Exception {
         loop.execute(() -> barrier.runAfterPendingInput(() -> barrier.runAfterPendingInput(() -> ran.add("write"))));
         awaitRun("write");
     }
 
     @Test
-    void whatWasReadIsRecentForAWhile() throws Exception {
+    void inputIsRecentForLimitedTime() throws Exception {
         loop.execute(() -> barrier.runAfterPendingInput(() -> ran.add("write")));
         awaitRun("write");
-        now.addAndGet(SHORT_NANOS);
+        nowNanos.addAndGet(SHORT_NANOS);
         assertTrue(loop.submit(barrier::isInputRecent).get());
-        now.addAndGet(LONG_NANOS);
+        nowNanos.addAndGet(LONG_NANOS);
         assertFalse(loop.submit(barrier::isInputRecent).get());
     }
 
     @Test
-    void aLoopWhosePassesAreAllLongGoesOnAllTheSame() throws Exception {
-        step = LONG_NANOS;
+    void tasksRunEvenIfAllLoopPassesAreLong() throws Exception {
+        stepNanos = LONG_NANOS;
         loop.execute(() -> barrier.runAfterPendingInput(() -> ran.add("write")));
         awaitRun("write");
-        assertEquals(8, now.get() / LONG_NANOS - 1, "two looks at the clock in each of four passes, and one at the end");
+        assertEquals(8, nowNanos.get() / LONG_NANOS - 1, "two clock reads in each of four passes, and one at the end");
     }
 
     @Test
-    void whatWaitsBehindATaskThatFailsIsStillRun() throws Exception {
+    void tasksAfterFailingTaskStillRun() throws Exception {
         loop.submit(() -> {
             barrier.runAfterPendingInput(() -> {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("a fault made by the test");
             });
             barrier.runAfterPendingInput(() -> ran.add("write"));
             loop.schedule(() -> ran.add("later"), 100, TimeUnit.MILLISECONDS);
--- a/src/test/java/starlingvalve/net/ListLeaseTest.java
+++ b/src/test/java/starlingvalve/net/ListLeaseTest.java
@@ -23,51 +23,53 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The lease on the list of endpoints, on a clock that the test moves. */
+/** Tests the lease on the list of endpoints, with a clock that the test advances. */
 class ListLeaseTest {
-    private static final long GRACE_MS = 250;
-    private static final ListLeasePolicy POLICY = ListLeasePolicy.of(true, GRACE_MS);
+    private static final long DRAIN_GRACE_MS = 250;
+    private static final ListLeasePolicy POLICY = ListLeasePolicy.of(true, DRAIN_GRACE_MS);
 
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<String> drained = new ArrayList<>();
-    private final EndpointList list = new EndpointList((whole, entries) -> entries.stream()
+    private final EndpointList list = new EndpointList((full, entries) -> entries.stream()
             .filter(entry -> !entry.serving()).forEach(entry -> drained.add(entry.id())), EventLog.ofThisProcess());
     private final List<Connection> connections = IntStream.range(0, ListLease.MAX_CHECKS)
             .mapToObj(i -> new Connection()).toList();
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> requests = new ArrayList<>();
     private ListLease lease = lease(POLICY);
     private long nowMs;
     private int generation = 1;
-    private String change = "";
-    /** After so long an answer comes; there is none while it is not set. */
-    private OptionalLong answersAfterMs = OptionalLong.of(1);
-    /** Connections that were open by now bring nothing any more. */
-    private boolean keptAreDead;
+    /** The JSON of the entry that each answer contains; empty if it contains none. */
+    private String changedEntry = "";
+    /** The delay of each answer; empty if requests are not answered. */
+    private OptionalLong answerDelayMs = OptionalLong.of(1);
+    /** Connections that are already open deliver no answers any more. */
+    private boolean openConnectionsAreBroken;
 
     /** A connection to a scripted agent. */
     private final class Connection implements Discovery.Source {
         private boolean open;
-        private Optional<Consumer<Optional<FullHttpResponse>>> out = Optional.empty();
+        /** The callback of the request in flight. */
+        private Optional<Consumer<Optional<FullHttpResponse>>> inFlight = Optional.empty();
 
         @Override
-        public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> then) {
-            asked.add(nowMs + " " + request.uri());
-            boolean dead = open && keptAreDead;
+        public void sendRequest(FullHttpRequest request, long limitMs, Consumer<Optional<FullHttpResponse>> callback) {
+            requests.add(nowMs + " " + request.uri());
+            boolean broken = open && openConnectionsAreBroken;
             open = true;
-            out = Optional.of(then);
+            inFlight = Optional.of(callback);
             FullHttpResponse answer = answer(request.uri().contains("after="));
-            boolean answers = !dead && answersAfterMs.isPresent() && answersAfterMs.getAsLong() < limitMs;
+            boolean isAnswered = !broken && answerDelayMs.isPresent() && answerDelayMs.getAsLong() < limitMs;
             loop.eventLoop().schedule(() -> {
-                if (out.equals(Optional.of(then))) {
-                    end(answers ? Optional.of(answer) : Optional.empty());
+                if (inFlight.equals(Optional.of(callback))) {
+                    end(isAnswered ? Optional.of(answer) : Optional.empty());
                 }
-            }, answers ? answersAfterMs.getAsLong() : limitMs, TimeUnit.MILLISECONDS);
+            }, isAnswered ? answerDelayMs.getAsLong() : limitMs, TimeUnit.MILLISECONDS);
         }
 
         private void end(Optional<FullHttpResponse> answer) {
-            Consumer<Optional<FullHttpResponse>> then = out.orElseThrow();
-            out = Optional.empty();
-            then.accept(answer);
+            Consumer<Optional<FullHttpResponse>> callback = inFlight.orElseThrow();
+            inFlight = Optional.empty();
+            callback.accept(answer);
         }
 
         @Override
@@ -82,20 +84,21 @@
 
         @Override
         public void cancelRequest() {
-            if (out.isPresent()) {
+            if (inFlight.isPresent()) {
                 end(Optional.empty());
             }
         }
 
         @Override
-        public void changeAddress(InetSocketAddress to) {
+        public void changeAddress(InetSocketAddress newAddress) {
             open = false;
             cancelRequest();
         }
     }
 
-    private FullHttpResponse answer(boolean changes) {
-        String body = "{\"generation\":" + generation + ",\"reset\":" + !changes + ",\"instances\":[" + change + "]}";
+    private FullHttpResponse answer(boolean changesOnly) {
+        String body = "{\"generation\":" + generation + ",\"reset\":" + !changesOnly + ",\"instances\":["
+                + changedEntry + "]}";
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
                 Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
     }
@@ -110,7 +113,7 @@
                 List.copyOf(connections));
     }
 
-    private void pass(long ms) {
+    private void advance(long ms) {
         for (long i = 0; i < ms; i++) {
             nowMs++;
             loop.advanceTimeBy(1, TimeUnit.MILLISECONDS);
@@ -118,199 +121,203 @@
         }
     }
 
-    /** The time until calls may go out, as somebody sees who waits for it. */
-    private long waited() {
+    /** Advances the clock until calls may be sent; returns how long that took in ms. */
+    private long waitUntilValid() {
         boolean[] valid = new boolean[1];
         lease.runWhenValid(() -> valid[0] = true);
-        long begun = nowMs;
+        long startMs = nowMs;
         while (!valid[0]) {
-            pass(1);
-            assertTrue(nowMs < begun + 10_000, "calls never go out");
+            advance(1);
+            assertTrue(nowMs < startMs + 10_000, "calls are never sent");
         }
-        return nowMs - begun;
+        return nowMs - startMs;
     }
 
-    private void confirm() {
-        assertTrue(waited() < 10);
+    private void confirmList() {
+        assertTrue(waitUntilValid() < 10);
     }
 
     @Test
-    void noCallGoesOutBeforeTheFirstAnswer() {
+    void noCallIsSentBeforeFirstAnswer() {
         assertFalse(lease.isValid());
-        assertEquals(List.of("0 /v1/servers"), asked);
-        confirm();
+        assertEquals(List.of("0 /v1/servers"), requests);
+        confirmList();
         assertTrue(lease.isValid());
     }
 
     @Test
-    void aSilentAgentHoldsCallsUpForAMomentAtTheStart() {
-        answersAfterMs = OptionalLong.empty();
-        long waited = waited();
-        assertTrue(waited >= 500 && waited <= 600, "ms: " + waited);
+    void silentAgentDelaysCallsBrieflyAtStart() {
+        answerDelayMs = OptionalLong.empty();
+        long waitedMs = waitUntilValid();
+        assertTrue(waitedMs >= 500 && waitedMs <= 600, "ms: " + waitedMs);
         for (int i = 0; i < 100; i++) {
-            assertTrue(lease.isValid() || waited() <= 60, "calls go on from then on");
-            pass(20);
+            assertTrue(lease.isValid() || waitUntilValid() <= 60, "calls continue from then on");
+            advance(20);
         }
     }
 
-    /** Together with the time for which a process may be held up this is within the grace and its slack. */
+    /** The lease time plus the time for which a process may be delayed stays within the drain grace and its slack. */
     @Test
-    void aLeaseRunsFromWhenItsCheckWasSentAndIsRenewedOnDemandAlone() {
-        confirm();
-        int checks = asked.size();
-        long sentMs = Long.parseLong(asked.get(checks - 1).split(" ")[0]);
-        pass(sentMs + 99 - nowMs);
+    void leaseStartsWhenCheckIsSentAndIsRenewedOnlyOnDemand() {
+        confirmList();
+        int requestCount = requests.size();
+        long sentMs = Long.parseLong(requests.get(requestCount - 1).split(" ")[0]);
+        advance(sentMs + 99 - nowMs);
         assertTrue(lease.isValid());
-        pass(1);
+        advance(1);
         assertFalse(lease.isValid());
-        assertEquals(checks + 1, asked.size());
-        pass(5000);
-        assertEquals(checks + 1, asked.size(), "nobody wants to call");
-        confirm();
+        assertEquals(requestCount + 1, requests.size());
+        advance(5000);
+        assertEquals(requestCount + 1, requests.size(), "no call waits");
+        confirmList();
     }
 
     @Test
-    void aChangeIsTakenBeforeTheNextCall() {
-        confirm();
-        pass(500);
+    void changeIsAppliedBeforeNextCall() {
+        confirmList();
+        advance(500);
         generation = 2;
-        change = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
+        changedEntry = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
         assertFalse(lease.isValid());
-        confirm();
+        confirmList();
         assertEquals(List.of("s"), drained);
     }
 
-    /** Silence on a kept connection proves nothing of the agent. */
+    /** Silence on a connection that was already open does not show that the agent is silent. */
     @Test
-    void aKeptConnectionThatIsDeadIsReplacedBeforeCallsGoOut() {
-        confirm();
-        pass(500);
-        keptAreDead = true;
+    void brokenConnectionIsReplacedBeforeCallsAreSent() {
+        confirmList();
+        advance(500);
+        openConnectionsAreBroken = true;
         generation = 2;
-        change = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
+        changedEntry = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
         assertFalse(lease.isValid());
-        long waited = waited();
-        assertEquals(List.of("s"), drained, "told before calls went out");
-        assertTrue(waited < 100, "ms: " + waited);
+        long waitedMs = waitUntilValid();
+        assertEquals(List.of("s"), drained, "received before calls are sent");
+        assertTrue(waitedMs < 100, "ms: " + waitedMs);
     }
 
-    /** Calls go on in an outage; each moment of it a check is out that is younger than the budget. */
+    /** Calls continue during an outage; at each moment a check is in flight that was sent within the budget. */
     @Test
-    void theReturnOfASilentAgentIsNoticedWithinTheBudgetWhileCallsGoOn() {
-        confirm();
-        pass(500);
-        answersAfterMs = OptionalLong.empty();
-        waited();
+    void returnOfSilentAgentIsNoticedWithinBudgetWhileCallsContinue() {
+        confirmList();
+        advance(500);
+        answerDelayMs = OptionalLong.empty();
+        waitUntilValid();
         for (int i = 0; i < 100; i++) {
-            assertTrue(lease.isValid() || waited() <= 60, "calls go on");
-            pass(20);
+            assertTrue(lease.isValid() || waitUntilValid() <= 60, "calls continue");
+            advance(20);
         }
-        answersAfterMs = OptionalLong.of(1);
+        answerDelayMs = OptionalLong.of(1);
         generation = 2;
-        change = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
-        long back = nowMs;
+        changedEntry = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
+        long returnMs = nowMs;
         while (drained.isEmpty()) {
             lease.isValid();
-            pass(1);
+            advance(1);
         }
-        assertTrue(nowMs - back <= 100, "ms: " + (nowMs - back));
+        assertTrue(nowMs - returnMs <= 100, "ms: " + (nowMs - returnMs));
     }
 
-    /** Told in a moment between two outages, while nobody wanted to call. */
+    /** A change may be available only briefly between two outages, while no call waits. */
     @Test
-    void aHeartbeatLearnsWhatIsToldWhileNobodyWantsToCall() {
-        confirm();
+    void heartbeatReceivesChangesWhileNoCallWaits() {
+        confirmList();
         lease.start();
-        answersAfterMs = OptionalLong.empty();
-        pass(2000);
-        answersAfterMs = OptionalLong.of(1);
+        answerDelayMs = OptionalLong.empty();
+        advance(2000);
+        answerDelayMs = OptionalLong.of(1);
         generation = 2;
-        change = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
-        pass(110);
+        changedEntry = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
+        advance(110);
         assertEquals("s", drained.get(0));
-        int checks = asked.size();
-        pass(1000);
-        assertTrue(asked.size() - checks <= 11, "checks in 1 s: " + (asked.size() - checks));
+        int requestCount = requests.size();
+        advance(1000);
+        assertTrue(requests.size() - requestCount <= 11, "checks in 1 s: " + (requests.size() - requestCount));
         lease.stop();
-        checks = asked.size();
-        pass(1000);
-        assertEquals(checks, asked.size());
+        requestCount = requests.size();
+        advance(1000);
+        assertEquals(requestCount, requests.size());
     }
 
     @Test
-    void afterALongPauseTheSilenceOfBeforeCountsForNothing() {
-        confirm();
-        answersAfterMs = OptionalLong.empty();
-        pass(500);
-        waited();
+    void earlierSilenceIsIgnoredAfterLongPause() {
+        confirmList();
+        answerDelayMs = OptionalLong.empty();
+        advance(500);
+        waitUntilValid();
         assertTrue(lease.isValid());
-        pass(5000);
-        answersAfterMs = OptionalLong.of(1);
-        assertFalse(lease.isValid(), "the agent may be back by now");
+        advance(5000);
+        answerDelayMs = OptionalLong.of(1);
+        assertFalse(lease.isValid(), "the agent may be reachable again");
     }
 
-    /** What an outage has swallowed is known to be lost with the first answer behind it; what is only late is not. */
+    /**
+     * The first answer after an outage shows that the requests sent during the outage are lost; a late answer does not
+     * make its request count as lost.
+     */
     @Test
-    void lostRequestsAreToldOfAndLateAnswersAreNot() {
+    void lostRequestsAreReportedAndLateAnswersAreNot() {
         List<Long> lost = new ArrayList<>();
         lease.onRequestsLost(sentBefore -> lost.add(TimeUnit.NANOSECONDS.toMillis(sentBefore)));
-        confirm();
+        confirmList();
         lease.start();
-        answersAfterMs = OptionalLong.of(180);
-        pass(1000);
+        answerDelayMs = OptionalLong.of(180);
+        advance(1000);
         assertEquals(List.of(), lost);
-        answersAfterMs = OptionalLong.empty();
-        pass(1000);
-        answersAfterMs = OptionalLong.of(1);
-        long back = nowMs;
-        pass(150);
+        answerDelayMs = OptionalLong.empty();
+        advance(1000);
+        answerDelayMs = OptionalLong.of(1);
+        long returnMs = nowMs;
+        advance(150);
         assertEquals(1, lost.size());
-        assertTrue(lost.get(0) >= back, "told ms: " + lost.get(0) + " of " + back);
+        assertTrue(lost.get(0) >= returnMs, "lost before ms: " + lost.get(0) + " of " + returnMs);
     }
 
-    /** Answers that come later than the patience are heeded all the same. */
+    /** Answers that arrive after the time limit for a reachable agent are still applied. */
     @Test
-    void aSlowAgentIsHeard() {
-        confirm();
-        pass(500);
-        answersAfterMs = OptionalLong.of(180);
+    void answersOfSlowAgentAreApplied() {
+        confirmList();
+        advance(500);
+        answerDelayMs = OptionalLong.of(180);
         generation = 2;
-        change = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
-        assertTrue(waited() <= 130, "for the kept connection, and then a new one");
-        pass(180);
+        changedEntry = "{\"instanceId\":\"s\",\"lifecycle\":\"DRAINING\",\"hostPort\":\"127.0.0.1:1\"}";
+        assertTrue(waitUntilValid() <= 130, "one time limit for the open connection and one for a new one");
+        advance(180);
         assertEquals("s", drained.get(0));
     }
 
     @Test
-    void aNewAddressIsAskedAtOnceAndTheOldOnesSilenceIsForgotten() {
-        confirm();
-        answersAfterMs = OptionalLong.empty();
-        pass(500);
-        waited();
+    void newAddressIsRequestedAtOnceAndOldSilenceIsDiscarded() {
+        confirmList();
+        answerDelayMs = OptionalLong.empty();
+        advance(500);
+        waitUntilValid();
         lease.changeAddress(new InetSocketAddress("127.0.0.1", 1));
-        answersAfterMs = OptionalLong.of(1);
+        answerDelayMs = OptionalLong.of(1);
         assertFalse(lease.isValid());
-        confirm();
+        confirmList();
     }
 
     @Test
-    void whereChangesAreAskedForTheFirstAnswerIsEnough() {
-        lease = lease(ListLeasePolicy.of(false, GRACE_MS));
+    void withoutPushedChangesFirstAnswerIsEnough() {
+        lease = lease(ListLeasePolicy.of(false, DRAIN_GRACE_MS));
         assertFalse(lease.isValid());
-        confirm();
-        pass(60_000);
+        confirmList();
+        advance(60_000);
         assertTrue(lease.isValid());
-        assertEquals(1, asked.size());
+        assertEquals(1, requests.size());
     }
 
     @Test
-    void theTimesOfTheLeaseFollowTheGraceOfTheSettings() {
+    void leaseTimesFollowDrainGraceSetting() {
         for (double graceMs : new double[] {0, 100, 250, 1000, 5000}) {
             ListLeasePolicy policy = ListLeasePolicy.of(true, graceMs);
             double budgetMs = Math.max(60, graceMs + 50 - 150);
             assertTrue(policy.leaseMs() <= budgetMs && policy.silenceMs() <= budgetMs, policy.toString());
             assertTrue(policy.patienceMs() >= 20 && policy.patienceMs() < policy.checkMs(), policy.toString());
-            assertTrue(policy.checkMs() + policy.patienceMs() <= policy.silenceMs(), "checks overlap in silence");
+            assertTrue(policy.checkMs() + policy.patienceMs() <= policy.silenceMs(),
+                    "checks overlap while the agent is silent");
         }
     }
 }
--- a/src/test/java/starlingvalve/net/SwitchableDiscovery.java
+++ b/src/test/java/starlingvalve/net/SwitchableDiscovery.java
@@ -4,11 +4,11 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in for discovery that is silent until it is up, and then answers with a list of one endpoint, or of none. */
+/** A fake discovery that is silent until {@link #up} is set, then answers with a list of one endpoint or none. */
 final class SwitchableDiscovery implements AutoCloseable {
     final StubServer endpoint;
     final StubServer agent;
-    /** Lists that were answered. */
+    /** The number of lists sent. */
     final AtomicInteger answers = new AtomicInteger();
     volatile boolean up;
     volatile boolean listIsEmpty;
@@ -18,7 +18,7 @@
         agent = new StubServer(this::answer);
     }
 
-    /** A watch has nothing to tell, so only the whole list is answered. */
+    /** Answers only requests for the full list; there are no changes for a watch to report. */
     private void answer(StubServer.Message request, Socket socket) throws IOException {
         if (!up || !request.line().equals("GET /v1/servers HTTP/1.1")) {
             return;
