--- a/src/main/java/starlingvalve/net/AgentConnection.java
+++ b/src/main/java/starlingvalve/net/AgentConnection.java
@@ -46,9 +46,11 @@
     private Channel channel;
     /** The quiet period after the last answer on {@link #channel}. */
     private final QuietPeriod quietPeriod = new QuietPeriod();
+    /** The request that is not ended yet, or null. */
     private Request current;
     private boolean failedLocally;
 
+    /** A request that ends with an answer or without one. */
     private final class Request {
         private final Consumer<Optional<FullHttpResponse>> callback;
         private Future<?> timer;
@@ -184,6 +186,7 @@
         return channel != null && isUsable(channel);
     }
 
+    /** Closes the connection and ends the request as unanswered, if it has not ended yet. */
     private void fail(Request request) {
         if (current != request) {
             return;
@@ -215,6 +218,7 @@
         events.add("agent-surplus", "where", where, "quiet_ms", quietMs);
     }
 
+    /** Passes the answer to the request in flight, and closes the connection if it can carry no further request. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<Object> {
         /** The answer, kept until the bytes that arrived with it are read. */
         private Optional<FullHttpResponse> answer = Optional.empty();
--- a/src/main/java/starlingvalve/net/EndpointList.java
+++ b/src/main/java/starlingvalve/net/EndpointList.java
@@ -50,7 +50,7 @@
                  boolean serving, boolean gone, double weight) {
     }
 
-    /** Is notified of each new list and of changes to it. */
+    /** Receives each new list and the changes to it. */
     interface Listener {
         /**
          * Called when the list has changed.
--- a/src/main/java/starlingvalve/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -28,7 +28,7 @@
  * during an outage is lost.
  */
 final class ListLease {
-    /** Most checks in flight at once. The time limit of a check is this multiple of the shortest interval of checks. */
+    /** Most checks in flight at once. The time limit of a check is this many times the shortest interval of checks. */
     static final int MAX_CHECKS = 4;
     /** Most unanswered checks that are remembered; this many suffice to detect that some are lost. */
     private static final int MAX_PENDING = 2 * MAX_CHECKS;
@@ -90,11 +90,12 @@
     private final List<Discovery.Source> connections;
     /** The connections on which a check is in flight. */
     private final List<Discovery.Source> busyConnections = new ArrayList<>();
-    /** Tasks that run once the lease is valid. */
+    /** Tasks that run once calls may be sent. */
     private final List<Runnable> waitingTasks = new ArrayList<>();
     /** Unanswered checks that were sent after the last answered one, in the order of sending. */
     private final Deque<Check> pending = new ArrayDeque<>();
     private LongConsumer onRequestsLost = sentBefore -> { };
+    /** A check has been answered since the start. */
     private boolean answeredOnce;
     /** The time of sending of the last sent check that was answered. */
     private OptionalLong confirmedAt = OptionalLong.empty();
@@ -105,7 +106,9 @@
      * would have answered it.
      */
     private OptionalLong silentAt = OptionalLong.empty();
+    /** The time of sending of the last sent check. */
     private OptionalLong lastCheckAt = OptionalLong.empty();
+    /** A run of the waiting tasks is scheduled. */
     private boolean runScheduled;
     private Optional<Future<?>> heartbeat = Optional.empty();
 
@@ -140,7 +143,7 @@
         heartbeat.ifPresent(timer -> timer.cancel(false));
     }
 
-    /** Whether calls may be sent now. Unless an answered check still holds, sends the next check if it is due. */
+    /** Whether calls may be sent now. Sends the next check if it is due, unless an answered one is recent enough. */
     boolean isValid() {
         long now = nanoClock.getAsLong();
         if (answeredOnce && !policy.expires() || isWithin(now, confirmedAt, policy.leaseMs())) {
@@ -172,11 +175,11 @@
      */
     private boolean isSilent(long now) {
         return unansweredSince.isPresent() && !isWithin(now, unansweredSince, policy.patienceMs())
-                && !mayStillStart(now) && isWithin(now, silentAt, policy.silenceMs());
+                && !awaitsFirstAnswer(now) && isWithin(now, silentAt, policy.silenceMs());
     }
 
     /** Whether the first answer is still awaited and is not overdue for a process that has just started. */
-    private boolean mayStillStart(long now) {
+    private boolean awaitsFirstAnswer(long now) {
         return !answeredOnce && (unansweredSince.isEmpty() || isWithin(now, unansweredSince, policy.startPatienceMs()));
     }
 
@@ -184,9 +187,10 @@
         return since.isPresent() && now - since.getAsLong() < TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
+    /** Sends a check if one is due and a connection is free. */
     private void checkIfDue(long now) {
         // The first answer contains the full list, which may take longer.
-        long pauseMs = mayStillStart(now) ? policy.startPatienceMs() / 2 : policy.checkMs();
+        long pauseMs = awaitsFirstAnswer(now) ? policy.startPatienceMs() / 2 : policy.checkMs();
         boolean openConnectionIsSilent = lastCheckAt.isPresent() && unansweredSince.isEmpty()
                 && !isWithin(now, lastCheckAt, policy.patienceMs());
         if (openConnectionIsSilent || !isWithin(now, lastCheckAt, pauseMs)) {
@@ -246,7 +250,7 @@
         return confirmedAt.isPresent() && confirmedAt.getAsLong() >= check.sentNanos;
     }
 
-    /** Runs the waiting tasks if the lease is valid; otherwise schedules the next attempt. */
+    /** Runs the waiting tasks if calls may be sent; otherwise schedules the next attempt. */
     private void runWaitingTasks() {
         if (waitingTasks.isEmpty()) {
             return;
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Sends the notice of a message, and repeats it until the platform has acknowledged it; then calls
-     * {@code acknowledged}.
+     * Sends the notice of a message, and repeats it until the platform has acknowledged it or can't read it; then calls
+     * the {@code acknowledged} callback.
      */
     void enqueue(AcceptedMessage message) {
         owed.add(message);
@@ -86,6 +86,7 @@
         }
     }
 
+    /** Schedules the notices that are to be sent once, unless a request is in flight already. */
     private void startSendingOnce() {
         if (!sending && !toSendOnce.isEmpty()) {
             sending = true;
@@ -100,6 +101,7 @@
         sendOwed();
     }
 
+    /** Schedules the owed notices, unless paused or a request is in flight already. */
     private void sendOwed() {
         if (!sending && !paused && !owed.isEmpty()) {
             sending = true;
@@ -118,6 +120,7 @@
         return owed.size();
     }
 
+    /** Sends one request with the first waiting notices. */
     private void sendNotices() {
         Deque<AcceptedMessage> queue = paused ? toSendOnce : owed;
         if (queue.isEmpty()) {
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -211,7 +211,7 @@
         }
     }
 
-    /** Error statuses come first, so that the pauses have grown, and the pause after the lost request is the longest. */
+    /** Error statuses come first, so that the pauses have grown, and that after the lost request is the longest. */
     @Test
     void changeIsReceivedInTimeAfterErrorStatusesAndLostRequest() throws Exception {
         int errorStatuses = 4;
