--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -30,7 +30,7 @@
     /** The sender's side. */
     interface Callbacks {
         /** Whether there is something to hand over, and nothing stands against it. */
-        boolean mayLeave();
+        boolean canHandOver();
 
         /**
          * Stops deciding; the state follows once it is whole and the journal is let go of. Without one this process goes on
@@ -146,7 +146,7 @@
     }
 
     /** Whether what happens here is to be passed on. */
-    boolean leaving() {
+    boolean isForwarding() {
         return phase == Phase.LEAVING || phase == Phase.RETURNING || phase == Phase.LEFT;
     }
 
@@ -203,7 +203,7 @@
     }
 
     private void begin(HandoverConnection from) {
-        if (phase != Phase.OWNING || System.nanoTime() - askAgainNanos < 0 || !estate.mayLeave()) {
+        if (phase != Phase.OWNING || System.nanoTime() - askAgainNanos < 0 || !estate.canHandOver()) {
             from.close();
             return;
         }
--- a/src/main/java/starlingvalve/net/PredecessorCalls.java
+++ b/src/main/java/starlingvalve/net/PredecessorCalls.java
@@ -11,11 +11,11 @@
 /** What an old process still does for this one after it has handed over: its calls that are out. */
 final class PredecessorCalls {
     /** One attempt of a message, by the module's number. */
-    record Out(long message, int attempt) {
+    record AttemptId(long message, int attempt) {
     }
 
     private final Map<Long, AcceptedMessage> held = new HashMap<>();
-    private final Set<Out> out = new HashSet<>();
+    private final Set<AttemptId> out = new HashSet<>();
     /** Calls that are over for a message, but not for others that travel with it. */
     private final Map<Long, Integer> openCalls = new HashMap<>();
 
@@ -27,16 +27,16 @@
         return Optional.ofNullable(held.get(message));
     }
 
-    void out(Out attempt) {
+    void out(AttemptId attempt) {
         out.add(attempt);
     }
 
-    boolean isOut(Out attempt) {
+    boolean isInFlight(AttemptId attempt) {
         return out.contains(attempt);
     }
 
     /** An attempt has ended: whether it was out there. */
-    boolean ended(Out attempt, boolean open) {
+    boolean ended(AttemptId attempt, boolean open) {
         boolean was = out.remove(attempt);
         if (was && open) {
             openCalls(attempt.message(), 1);
@@ -58,12 +58,12 @@
     }
 
     /** The old process is gone: all that it had out, which nobody will report any more. */
-    List<Out> allOut() {
+    List<AttemptId> attemptsInFlight() {
         return new ArrayList<>(out);
     }
 
     /** The open calls alike, one entry for each. */
-    List<Long> allOpen() {
+    List<Long> messagesOfOpenCalls() {
         List<Long> all = new ArrayList<>();
         openCalls.forEach((message, n) -> {
             for (int i = 0; i < n; i++) {
@@ -74,7 +74,7 @@
     }
 
     /** All messages that came with the handover. */
-    List<AcceptedMessage> allHeld() {
+    List<AcceptedMessage> acceptedMessages() {
         return new ArrayList<>(held.values());
     }
 
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -33,7 +33,7 @@
 import java.util.function.UnaryOperator;
 import starlingvalve.DeliveryPolicy;
 import starlingvalve.InvalidInputException;
-import starlingvalve.net.PredecessorCalls.Out;
+import starlingvalve.net.PredecessorCalls.AttemptId;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -91,7 +91,7 @@
     /** Final check of what may be sent or ended; null until this process owns the journal. */
     private MessageRules rules;
     /** The calls of the attempts in flight, by message number and attempt number. */
-    private final Map<Out, Endpoints.Call> callsInFlight = new HashMap<>();
+    private final Map<AttemptId, Endpoints.Call> callsInFlight = new HashMap<>();
     private final DeliveryPolicy policy;
     private Journal journal;
     private Endpoints endpoints;
@@ -347,7 +347,7 @@
             predecessorCalls.openCalls(message.message().id(), message.openCalls());
             for (int i = 0; i < message.attempts().size(); i++) {
                 if (message.attempts().get(i).out()) {
-                    predecessorCalls.out(new Out(message.message().id(), i));
+                    predecessorCalls.out(new AttemptId(message.message().id(), i));
                 }
             }
         }
@@ -624,7 +624,7 @@
         attempt.listGeneration = discovery.generation();
         accepted.attempts.add(attempt);
         boolean started = FaultIsolation.run(
-                () -> callsInFlight.put(new Out(message, number),
+                () -> callsInFlight.put(new AttemptId(message, number),
                         endpoints.call(accepted, number, endpoint, timeoutMs)));
         if (!started) {
             // The policy counts the attempt as in flight until its end is reported.
@@ -635,10 +635,10 @@
 
     @Override
     public void cancel(long message, int attempt) {
-        Endpoints.Call call = callsInFlight.get(new Out(message, attempt));
+        Endpoints.Call call = callsInFlight.get(new AttemptId(message, attempt));
         if (call != null) {
             endpoints.cancel(call);
-        } else if (predecessorCalls.isOut(new Out(message, attempt))) {
+        } else if (predecessorCalls.isInFlight(new AttemptId(message, attempt))) {
             takeover.tell(HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
         }
     }
@@ -729,7 +729,7 @@
         @Override
         public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded, double waitMs,
                 boolean callOpen) {
-            callsInFlight.remove(new Out(call.held.number, call.attempt));
+            callsInFlight.remove(new AttemptId(call.held.number, call.attempt));
             double tookMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (outcome != DeliveryPolicy.Outcome.DELIVERED) {
                 logUndelivered(call, outcome, messageEnded, waitMs, tookMs);
@@ -737,7 +737,7 @@
             boolean needsConfirmation = call.report().wasPartlyAbandoned();
             Runnable localAction = () -> attemptEnded(call.held, call.attempt, outcome, messageEnded,
                     needsConfirmation, waitMs, tookMs, callOpen);
-            if (handover.leaving()) {
+            if (handover.isForwarding()) {
                 ObjectNode line = HandoverConnection.line("ended").put("message", call.held.number)
                         .put("attempt", call.attempt).put("outcome", outcome.name()).put("gone", messageEnded)
                         .put("confirm", needsConfirmation).put("waitMs", waitMs).put("tookMs", tookMs)
@@ -753,7 +753,7 @@
             events.add("over-after-end", "id", call.held.id, "attempt", call.attempt, "endpoint",
                     call.held.attempts.get(call.attempt).endpoint, "delivered", delivered);
             Runnable localAction = () -> Sender.this.endByLateAnswer(call.held, delivered);
-            if (handover.leaving()) {
+            if (handover.isForwarding()) {
                 handover.tell(HandoverConnection.line("over").put("message", call.held.number)
                         .put("delivered", delivered), localAction);
             } else {
@@ -782,7 +782,7 @@
         @Override
         public void waitTold(long endpoint, double waitMs) {
             Runnable localAction = () -> isolate(() -> policy.waitTold(openTurn(), endpoint, waitMs));
-            if (handover.leaving()) {
+            if (handover.isForwarding()) {
                 handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
                         localAction);
             } else {
@@ -798,7 +798,7 @@
         @Override
         public void closed(Endpoints.Call call) {
             Runnable localAction = () -> isolate(() -> policy.callClosed(openTurn(), call.held.number));
-            if (handover.leaving()) {
+            if (handover.isForwarding()) {
                 handover.tell(HandoverConnection.line("closed").put("message", call.held.number), localAction);
             } else {
                 localAction.run();
@@ -951,7 +951,7 @@
 
         @Override
         public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
-            if (handover.leaving()) {
+            if (handover.isForwarding()) {
                 ObjectNode line = HandoverConnection.line("submit");
                 line.set("submission", HandoverConnection.JSON.valueToTree(submission));
                 handover.ask(line, reply -> callback.accept(verdict(reply)), () -> take(submission, callback));
@@ -1048,7 +1048,7 @@
 
     /** The client has received the answer that its message was accepted ({@code acknowledged}), or never will. */
     private void submissionAnswered(AcceptedMessage accepted, boolean acknowledged) {
-        if (handover.leaving()) {
+        if (handover.isForwarding()) {
             handover.tell(
                     HandoverConnection.line("answered").put("message", accepted.number).put("heard", acknowledged),
                     () -> submissionAnswered(accepted, acknowledged));
@@ -1086,7 +1086,7 @@
 
         @Override
         public void maintain(String endpoint, boolean inMaintenance, Consumer<OperatorServer.Answer> callback) {
-            if (!ownsJournal || handover.leaving()) {
+            if (!ownsJournal || handover.isForwarding()) {
                 forward(HandoverConnection.line("maintain").put("endpoint", endpoint).put("on", inMaintenance),
                         callback, () -> maintain(endpoint, inMaintenance, callback));
                 return;
@@ -1109,7 +1109,7 @@
 
         @Override
         public void drain(boolean on, Consumer<OperatorServer.Answer> callback) {
-            if (!ownsJournal || handover.leaving()) {
+            if (!ownsJournal || handover.isForwarding()) {
                 forward(HandoverConnection.line("drain").put("on", on), answer -> {
                     if (answer.status().code() == 200) {
                         intake.drain(on);
@@ -1161,9 +1161,9 @@
     /** The handover side of an upgrade: this process hands over to its successor. */
     private final class HandoverCallbacks implements Handover.Callbacks {
         @Override
-        public boolean mayLeave() {
+        public boolean canHandOver() {
             // Journal records that are not on disk would not reach the successor.
-            return ready && listening && !shuttingDown && !takeover.hasPartner() && journal.catchUp();
+            return ready && listening && !shuttingDown && !takeover.hasPredecessor() && journal.catchUp();
         }
 
         @Override
@@ -1264,7 +1264,7 @@
         }
 
         @Override
-        public void listenBeside(Runnable successCallback, Runnable failureCallback) {
+        public void listenAlongside(Runnable successCallback, Runnable failureCallback) {
             listen(successCallback, cause -> {
                 if (isAddressHeldByPredecessor(cause)) {
                     Log.line("can't listen beside the old process, and does so once that one has left");
@@ -1355,7 +1355,7 @@
         private void handleReport(JsonNode line) {
             long message = line.path("message").asLong();
             switch (line.path("do").asText()) {
-                case "ended" -> predecessorAttemptEnded(new Out(message, line.path("attempt").asInt()),
+                case "ended" -> predecessorAttemptEnded(new AttemptId(message, line.path("attempt").asInt()),
                         DeliveryPolicy.Outcome.valueOf(line.path("outcome").asText()), line.path("gone").asBoolean(),
                         line.path("confirm").asBoolean(),
                         line.path("waitMs").asDouble(), line.path("tookMs").asDouble(),
@@ -1375,7 +1375,7 @@
             }
         }
 
-        private void predecessorAttemptEnded(Out attempt, DeliveryPolicy.Outcome outcome, boolean messageEnded,
+        private void predecessorAttemptEnded(AttemptId attempt, DeliveryPolicy.Outcome outcome, boolean messageEnded,
                 boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
             if (!predecessorCalls.ended(attempt, callOpen)) {
                 return;
@@ -1451,16 +1451,16 @@
             Log.line("the old process is gone, with " + predecessorCalls.size() + " calls out");
             events.add("predecessor-gone", "calls", predecessorCalls.size(), "open", openMessages.size(), "module",
                     policy.open().size(), "unanswered", unansweredSubmissions.size());
-            for (Out attempt : predecessorCalls.allOut()) {
+            for (AttemptId attempt : predecessorCalls.attemptsInFlight()) {
                 isolate(() -> predecessorAttemptEnded(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0,
                         false));
             }
-            predecessorCalls.allOpen().forEach(this::predecessorCallClosed);
+            predecessorCalls.messagesOfOpenCalls().forEach(this::predecessorCallClosed);
             List<SubmissionServer.Verdict> unanswered =
                     unansweredSubmissions.values().stream().flatMap(Deque::stream).toList();
             unansweredSubmissions.clear();
             unanswered.forEach(verdict -> isolate(() -> verdict.answered().accept(true)));
-            for (AcceptedMessage accepted : predecessorCalls.allHeld()) {
+            for (AcceptedMessage accepted : predecessorCalls.acceptedMessages()) {
                 if (!accepted.ended) {
                     isolate(() -> Sender.this.submissionAnswered(accepted, true));
                 }
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -34,7 +34,7 @@
         boolean prepared();
 
         /** Begins to listen beside the old process; then tells whether it could. */
-        void listenBeside(Runnable then, Runnable failed);
+        void listenAlongside(Runnable then, Runnable failed);
 
         /** The old process went on by itself: clients are its own again. */
         void listenNoMore();
@@ -139,7 +139,7 @@
     }
 
     /** Whether an old process is still there beside this one. */
-    boolean hasPartner() {
+    boolean hasPredecessor() {
         return link != null;
     }
 
@@ -191,13 +191,13 @@
         } else if (node.path("do").asText().equals("state")) {
             given = true;
             patience.cancel(false);
-            listenBeside(link, node);
+            listenAlongside(link, node);
         }
     }
 
     /** Whatever comes of it, the old process hears that this one owns, or that it does not come to. */
-    private void listenBeside(HandoverConnection from, JsonNode state) {
-        if (!FaultIsolation.run(() -> heir.listenBeside(() -> take(from, state), () -> decline(from)))) {
+    private void listenAlongside(HandoverConnection from, JsonNode state) {
+        if (!FaultIsolation.run(() -> heir.listenAlongside(() -> take(from, state), () -> decline(from)))) {
             decline(from);
         }
     }
--- a/src/test/java/starlingvalve/net/HandoverTest.java
+++ b/src/test/java/starlingvalve/net/HandoverTest.java
@@ -37,7 +37,7 @@
 
     private final Handover.Callbacks estate = new Handover.Callbacks() {
         @Override
-        public boolean mayLeave() {
+        public boolean canHandOver() {
             return true;
         }
 
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void listenBeside(Runnable then, Runnable failed) {
+        public void listenAlongside(Runnable then, Runnable failed) {
             asked.incrementAndGet();
             throw new ClassCastException("as Intake.listen throws where no socket can be made");
         }
@@ -123,7 +123,7 @@
         AtomicInteger tries = new AtomicInteger();
         FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks() {
             @Override
-            public void listenBeside(Runnable then, Runnable failed) {
+            public void listenAlongside(Runnable then, Runnable failed) {
                 then.run();
             }
 
@@ -177,7 +177,7 @@
                 while (!new String(read.array(), StandardCharsets.UTF_8).contains("{\"do\":\"declined\"}\n")) {
                     assertTrue(link.read(read) >= 0, "the link has ended, and the lock is free");
                 }
-                loop.submit(takeover::hasPartner).sync();
+                loop.submit(takeover::hasPredecessor).sync();
                 assertEquals(0, owned.get());
             }
             StubServer.await("it owns once the old process has gone", () -> owned.get() == 1);
--- a/src/test/java/starlingvalve/net/TakeoverTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void listenBeside(Runnable then, Runnable failed) {
+        public void listenAlongside(Runnable then, Runnable failed) {
             listening.add(then);
         }
 
