--- a/src/test/java/starlingvalve/net/ChangedClassesUpgradeTest.java
+++ b/src/test/java/starlingvalve/net/ChangedClassesUpgradeTest.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.Test;
 
-/** An upgrade to a configuration with another class, so that the new module can't use the old one's memory. */
+/**
+ * An upgrade to a configuration with an additional message class in front of the others, so that the class numbers in
+ * the predecessor's state don't apply in the successor.
+ */
 class ChangedClassesUpgradeTest extends SenderFixture {
     private boolean moreClasses;
 
@@ -27,24 +30,24 @@
                 "TMPDIR", folder.toString()));
     }
 
-    /** The old process still has its call out, and reports that it was delivered. */
+    /** The call is in flight in the predecessor, which reports its delivery after the handover. */
     @Test
-    void aMessageThatTheOldProcessDeliversAfterTheHandoverIsNotGivenUp() throws Exception {
-        List<Socket> late = new CopyOnWriteArrayList<>();
-        script((request, socket) -> late.add(socket));
+    void messageDeliveredByPredecessorAfterHandoverGetsNoNotice() throws Exception {
+        List<Socket> unanswered = new CopyOnWriteArrayList<>();
+        script((request, socket) -> unanswered.add(socket));
         start();
         submit("m", "once");
-        StubServer.await("the call", () -> late.size() == 1);
-        Sender old = sender;
+        StubServer.await("the call", () -> unanswered.size() == 1);
+        Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         moreClasses = true;
         start();
         try {
-            StubServer.write(late.get(0), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            StubServer.write(unanswered.get(0), "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             awaitEmptyJournal();
             assertEquals(List.of(), notices);
         } finally {
-            old.kill();
+            predecessor.kill();
         }
     }
 }
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -23,297 +23,298 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** States in which the old process of an upgrade hands over: each message still ends in its time. */
+/** Handovers of a sender in various states: each message must still end in time. */
 class HandoverOrderTest extends SenderFixture {
     private static final String WAIT = "Retry-After: 1.5\r\n";
     private static final int BUDGET_MS = 4000;
 
-    private final List<Sender> olds = new ArrayList<>();
+    private final List<Sender> predecessors = new ArrayList<>();
 
     @AfterEach
-    void endOldOnes() {
-        olds.forEach(Sender::kill);
+    void killPredecessors() {
+        predecessors.forEach(Sender::kill);
     }
 
     private void upgrade() throws Exception {
-        olds.add(sender);
+        predecessors.add(sender);
         listenAddress = "127.0.0.1:" + address.getPort();
         start();
     }
 
-    /** Answers each of the first calls by its script, and delivers what follows. */
-    private void scriptCalls(StubServer.Script... first) {
+    /** Answers each of the first calls with its own script, and delivers the messages of all further calls. */
+    private void scriptCalls(StubServer.Script... firstCalls) {
         AtomicInteger calls = new AtomicInteger();
         script((request, socket) -> {
             int call = calls.getAndIncrement();
-            (call < first.length ? first[call] : StubServer.status(200, "")).come(request, socket);
+            (call < firstCalls.length ? firstCalls[call] : StubServer.status(200, "")).come(request, socket);
         });
     }
 
-    private void handInBriefly(String id) throws Exception {
+    private void submitWithShortBudget(String id) throws Exception {
         String text = message(id, "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), text).line());
     }
 
-    /** Since its handing-in: delivered, or ended by one notice, in the time of the rule. */
-    private void awaitEnd(String id, long handedInNanos) throws Exception {
-        long end = handedInNanos + TimeUnit.MILLISECONDS.toNanos(BUDGET_MS + 300);
-        while (!hasEnd(id) && System.nanoTime() < end) {
+    /** Waits until a message is delivered or ended by one notice; by the rule that takes its budget and 300 ms at most. */
+    private void awaitEnd(String id, long submittedNanos) throws Exception {
+        long deadlineNanos = submittedNanos + TimeUnit.MILLISECONDS.toNanos(BUDGET_MS + 300);
+        while (!hasEnded(id) && System.nanoTime() < deadlineNanos) {
             Thread.sleep(2);
         }
-        assertTrue(hasEnd(id), "message " + id + " has no end " + (BUDGET_MS + 300) + " ms after it was handed in");
-        assertTrue(notices.stream().filter(n -> n.contains('"' + id + '"')).count() <= 1, "one notice");
+        assertTrue(hasEnded(id), "message " + id + " has no end " + (BUDGET_MS + 300) + " ms after its submission");
+        assertTrue(notices.stream().filter(notice -> notice.contains('"' + id + '"')).count() <= 1, "one notice");
     }
 
-    private boolean hasEnd(String id) {
-        return journalledMessages().stream().noneMatch(held -> held.id.equals(id));
+    private boolean hasEnded(String id) {
+        return journalledMessages().stream().noneMatch(accepted -> accepted.id.equals(id));
     }
 
     @Test
-    void whatWaitsBehindAMessageWhoseCopyWasRefusedEndsInItsTimeAfterAnUpgrade() throws Exception {
+    void messageBehindOneWithRefusedHedgeEndsInTimeAfterUpgrade() throws Exception {
         hedging = true;
         scriptCalls(StubServer.silent(), StubServer.status(503, WAIT));
         start();
         submit("hedged", "plain");
-        StubServer.await("the copy is refused", () -> calls().size() == 2 && attemptsEnded("hedged") == 1);
-        long handedIn = System.nanoTime();
-        handInBriefly("behind");
+        StubServer.await("the hedge is refused", () -> calls().size() == 2 && refusedAttempts("hedged") == 1);
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("behind");
         upgrade();
-        awaitEnd("behind", handedIn);
+        awaitEnd("behind", submittedNanos);
     }
 
-    /** Attempts of a message of which the journal tells that they never ran. */
-    private long attemptsEnded(String id) {
-        return journalledMessages().stream().filter(held -> held.id.equals(id))
-                .mapToLong(held -> held.attempts.stream().filter(a -> a.neverRan).count()).sum();
+    /** Returns the number of a message's attempts that never ran, according to the journal. */
+    private long refusedAttempts(String id) {
+        return journalledMessages().stream().filter(accepted -> accepted.id.equals(id))
+                .mapToLong(accepted -> accepted.attempts.stream().filter(attempt -> attempt.neverRan).count()).sum();
     }
 
     @Test
-    void whatIsRefusedAfterTheHandoverBehindAMessageWhoseCopyWasRefusedEndsInItsTime() throws Exception {
+    void messageRefusedAfterHandoverBehindOneWithRefusedHedgeEndsInTime() throws Exception {
         hedging = true;
-        List<Socket> late = new ArrayList<>();
-        scriptCalls(StubServer.silent(), StubServer.status(503, ""), (request, socket) -> late.add(socket));
+        List<Socket> unanswered = new ArrayList<>();
+        scriptCalls(StubServer.silent(), StubServer.status(503, ""), (request, socket) -> unanswered.add(socket));
         start();
         submit("hedged", "plain");
-        StubServer.await("the copy is refused", () -> calls().size() == 2 && attemptsEnded("hedged") == 1);
-        long handedIn = System.nanoTime();
-        handInBriefly("behind");
-        StubServer.await("it is out", () -> late.size() == 1);
+        StubServer.await("the hedge is refused", () -> calls().size() == 2 && refusedAttempts("hedged") == 1);
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("behind");
+        StubServer.await("the call is in flight", () -> unanswered.size() == 1);
         upgrade();
-        StubServer.write(late.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-        awaitEnd("behind", handedIn);
+        StubServer.write(unanswered.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+        awaitEnd("behind", submittedNanos);
     }
 
     @Test
-    void whatWasRefusedAndWaitsForAnotherTryEndsInItsTimeAfterAnUpgrade() throws Exception {
+    void refusedMessageThatWaitsForRetryEndsInTimeAfterUpgrade() throws Exception {
         scriptCalls(StubServer.status(503, WAIT));
         start();
-        long handedIn = System.nanoTime();
-        handInBriefly("waiting");
-        StubServer.await("it is refused", () -> attemptsEnded("waiting") == 1);
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("waiting");
+        StubServer.await("the attempt is refused", () -> refusedAttempts("waiting") == 1);
         upgrade();
-        awaitEnd("waiting", handedIn);
+        awaitEnd("waiting", submittedNanos);
         assertEquals(2, calls().size());
     }
 
     @Test
-    void whatIsOutAndRefusedAfterTheHandoverEndsInItsTime() throws Exception {
-        List<Socket> late = new ArrayList<>();
-        scriptCalls((request, socket) -> late.add(socket));
+    void messageInFlightThatIsRefusedAfterHandoverEndsInTime() throws Exception {
+        List<Socket> unanswered = new ArrayList<>();
+        scriptCalls((request, socket) -> unanswered.add(socket));
         start();
-        long handedIn = System.nanoTime();
-        handInBriefly("out");
-        StubServer.await("it is out", () -> late.size() == 1);
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("out");
+        StubServer.await("the call is in flight", () -> unanswered.size() == 1);
         upgrade();
-        StubServer.write(late.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-        awaitEnd("out", handedIn);
+        StubServer.write(unanswered.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+        awaitEnd("out", submittedNanos);
     }
 
     @Test
-    void whatWaitsForAMissingDestinationEndsInItsTimeAfterAnUpgrade() throws Exception {
+    void messageWithoutServingEndpointEndsInTimeAfterUpgrade() throws Exception {
         start();
         endpointStates = "DRAINING DRAINING";
-        StubServer.await("the list", () -> sender != null && drained());
-        long handedIn = System.nanoTime();
-        handInBriefly("waiting");
+        StubServer.await("the sender knows that both endpoints drain", () -> sender != null && drained());
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("waiting");
         upgrade();
-        awaitEnd("waiting", handedIn);
+        awaitEnd("waiting", submittedNanos);
         assertEquals(0, calls().size());
     }
 
     private boolean drained() {
-        try (Journal journal = copy()) {
+        try (Journal journal = journalCopy()) {
             return journal.withdrawn().size() == 2;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private Journal copy() throws IOException {
-        Path copy = Files.createTempDirectory(folder, "copy");
-        Files.copy(folder.resolve("state/journal"), copy.resolve("journal"));
-        return new Journal(copy, 3_000_000, 12);
+    private Journal journalCopy() throws IOException {
+        Path copyFolder = Files.createTempDirectory(folder, "copy");
+        Files.copy(folder.resolve("state/journal"), copyFolder.resolve("journal"));
+        return new Journal(copyFolder, 3_000_000, 12);
     }
 
     @Test
-    void anUnheardNoticeIsToldOnceAfterAnUpgrade() throws Exception {
+    void unacknowledgedNoticeIsSentAfterUpgrade() throws Exception {
         reportStatus = 500;
         scriptCalls(StubServer.status(500, ""));
         start();
         submit("once", "once");
-        StubServer.await("its notice is owed", () -> journalledMessages().stream().anyMatch(held -> held.pendingNotice.isPresent()));
+        StubServer.await("its notice is pending",
+                () -> journalledMessages().stream().anyMatch(accepted -> accepted.pendingNotice.isPresent()));
         upgrade();
         reportStatus = 204;
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
     }
 
     @Test
-    void aSecondUpgradeReachesTheProcessThatTookOverInTheFirst() throws Exception {
+    void successorCanBeUpgradedAgain() throws Exception {
         start();
         for (int i = 0; i < 5; i++) {
             assertTimeoutPreemptively(Duration.ofSeconds(10), this::upgrade, "upgrade " + i);
-            olds.remove(0).kill();
+            predecessors.remove(0).kill();
         }
     }
 
     @Test
-    void whatTheNewProcesssModuleCantRememberEndsInItsTime() throws Exception {
+    void messageEndsInTimeIfSuccessorsPolicyFailsToRestoreState() throws Exception {
         scriptCalls(StubServer.status(503, WAIT));
         start();
-        long handedIn = System.nanoTime();
-        handInBriefly("waiting");
-        StubServer.await("it is refused", () -> attemptsEnded("waiting") == 1);
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("waiting");
+        StubServer.await("the attempt is refused", () -> refusedAttempts("waiting") == 1);
         beforeEvent = (event, arguments) -> {
             if (event.equals("remember")) {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("fault injected by the test");
             }
         };
         upgrade();
-        awaitEnd("waiting", handedIn);
+        awaitEnd("waiting", submittedNanos);
     }
 
     @Test
-    void anOldProcessWhoseModuleCantTellWhatItKnowsGoesOn() throws Exception {
+    void predecessorContinuesIfItsPolicyFailsToReturnState() throws Exception {
         scriptCalls(StubServer.status(503, WAIT));
         start();
-        long handedIn = System.nanoTime();
-        handInBriefly("waiting");
-        StubServer.await("it is refused", () -> attemptsEnded("waiting") == 1);
-        AtomicInteger asked = new AtomicInteger();
+        long submittedNanos = System.nanoTime();
+        submitWithShortBudget("waiting");
+        StubServer.await("the attempt is refused", () -> refusedAttempts("waiting") == 1);
+        AtomicInteger memoryCalls = new AtomicInteger();
         beforeEvent = (event, arguments) -> {
-            if (event.equals("memory") && asked.getAndIncrement() == 0) {
-                throw new IllegalStateException("a fault of the test's");
+            if (event.equals("memory") && memoryCalls.getAndIncrement() == 0) {
+                throw new IllegalStateException("fault injected by the test");
             }
         };
-        Thread starts = new Thread(() -> {
+        Thread upgradeThread = new Thread(() -> {
             try {
                 upgrade();
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
         });
-        starts.setDaemon(true);
-        starts.start();
-        StubServer.await("it is asked", () -> asked.get() > 0);
-        awaitEnd("waiting", handedIn);
-        starts.join(10_000);
+        upgradeThread.setDaemon(true);
+        upgradeThread.start();
+        StubServer.await("the policy is asked for its state", () -> memoryCalls.get() > 0);
+        awaitEnd("waiting", submittedNanos);
+        upgradeThread.join(10_000);
     }
 
-    // ---- what is not sent yet at the handover ----
+    // ---- calls that are not written yet at the handover ----
 
-    /** Where the list has the endpoint, instead of at its stub: there connections keep coming up. */
-    private final Map<Integer, FullListener> full = new HashMap<>();
+    /** By endpoint: the listener whose address the list gives instead of the stub's; connects to it never complete. */
+    private final Map<Integer, FullListener> fullListeners = new HashMap<>();
 
     @Override
     String entry(int number, String state) {
         String entry = super.entry(number, state);
-        return full.containsKey(number)
-                ? entry.replace(endpoints.get(number).hostPort(), full.get(number).hostPort()) : entry;
+        return fullListeners.containsKey(number)
+                ? entry.replace(endpoints.get(number).hostPort(), fullListeners.get(number).hostPort()) : entry;
     }
 
-    /** Counted down when a call with that attempt is about to dial. */
-    private CountDownLatch dialled(int attempt) {
-        CountDownLatch dials = new CountDownLatch(1);
+    /** Returns a latch that is counted down when a call with an attempt of this number is about to connect. */
+    private CountDownLatch dialLatch(int attempt) {
+        CountDownLatch dialled = new CountDownLatch(1);
         beforeEvent = (event, arguments) -> {
             if (event.equals("mayStart") && arguments[2].equals(attempt)) {
-                dials.countDown();
+                dialled.countDown();
             }
         };
-        return dials;
+        return dialled;
     }
 
     @Test
-    void whatIsOutBehindAMessageWhoseCopyIsCalledOffByTheHandoverEndsInItsTime() throws Exception {
+    void messageBehindOneWhoseHedgeIsCancelledByHandoverEndsInTime() throws Exception {
         hedging = true;
-        List<Socket> late = new ArrayList<>();
-        scriptCalls(StubServer.silent(), (request, socket) -> late.add(socket));
-        try (FullListener second = new FullListener()) {
-            full.put(1, second);
-            CountDownLatch copy = dialled(1);
+        List<Socket> unanswered = new ArrayList<>();
+        scriptCalls(StubServer.silent(), (request, socket) -> unanswered.add(socket));
+        try (FullListener secondEndpoint = new FullListener()) {
+            fullListeners.put(1, secondEndpoint);
+            CountDownLatch hedgeDialled = dialLatch(1);
             start();
             submit("hedged", "plain");
-            awaitLatch(copy);
-            long handedIn = System.nanoTime();
-            handInBriefly("behind");
-            StubServer.await("it is out", () -> late.size() == 1);
+            awaitLatch(hedgeDialled);
+            long submittedNanos = System.nanoTime();
+            submitWithShortBudget("behind");
+            StubServer.await("the call is in flight", () -> unanswered.size() == 1);
             upgrade();
-            StubServer.write(late.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-            awaitEnd("behind", handedIn);
+            StubServer.write(unanswered.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+            awaitEnd("behind", submittedNanos);
         }
     }
 
     @Test
-    void whatIsCalledOffByTheHandoverEndsInItsTime() throws Exception {
-        endsThoughItWasCalledOff(new FailingDisk());
+    void messageWhoseDialIsCancelledByHandoverEndsInTime() throws Exception {
+        endsAfterCancelledDial(new FailingDisk());
     }
 
-    /** The journal and the module then count its attempts differently. */
+    /** With the failing disk, the journal and the policy count the attempts of the message differently. */
     @Test
-    void whatIsCalledOffByTheHandoverWhileTheDiskFailsEndsInItsTime() throws Exception {
+    void messageWhoseDialIsCancelledByHandoverEndsInTimeOnFailingDisk() throws Exception {
         FailingDisk disk = new FailingDisk();
         disk.room = 0;
-        endsThoughItWasCalledOff(disk);
+        endsAfterCancelledDial(disk);
     }
 
-    private void endsThoughItWasCalledOff(FailingDisk disk) throws Exception {
+    private void endsAfterCancelledDial(FailingDisk disk) throws Exception {
         scriptCalls(StubServer.status(503, ""));
-        try (FullListener first = new FullListener()) {
-            full.put(0, first);
+        try (FullListener firstEndpoint = new FullListener()) {
+            fullListeners.put(0, firstEndpoint);
             endpointStates = "SERVING DRAINING";
-            CountDownLatch dial = dialled(0);
+            CountDownLatch dialled = dialLatch(0);
             start();
-            long handedIn = System.nanoTime();
-            handInBriefly("called-off");
-            awaitLatch(dial);
-            putUnder(sender, disk);
+            long submittedNanos = System.nanoTime();
+            submitWithShortBudget("called-off");
+            awaitLatch(dialled);
+            setDisk(sender, disk);
             upgrade();
             endpointStates = "DRAINING SERVING";
-            awaitEnd("called-off", handedIn);
+            awaitEnd("called-off", submittedNanos);
         }
     }
 
-    /** From now on the sender's journal is on this disk. */
-    private static void putUnder(Sender sender, FailingDisk disk) throws ReflectiveOperationException {
+    /** Makes the sender's journal use this disk from now on. */
+    private static void setDisk(Sender sender, FailingDisk disk) throws ReflectiveOperationException {
         Object file = field(field(sender, "journal"), "file");
-        Field of = JournalFile.class.getDeclaredField("disk");
-        of.setAccessible(true);
-        of.set(file, disk);
+        Field diskField = JournalFile.class.getDeclaredField("disk");
+        diskField.setAccessible(true);
+        diskField.set(file, disk);
     }
 
-    private static Object field(Object of, String name) throws ReflectiveOperationException {
-        Field field = of.getClass().getDeclaredField(name);
+    private static Object field(Object target, String name) throws ReflectiveOperationException {
+        Field field = target.getClass().getDeclaredField(name);
         field.setAccessible(true);
-        return field.get(of);
+        return field.get(target);
     }
 
-    /** Has no room for further connections: they keep coming up. */
+    /** A listener whose queue is full, so that further connects to it never complete. */
     private static final class FullListener implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> queue = new ArrayList<>();
+        private final List<Socket> connections = new ArrayList<>();
 
         FullListener() throws IOException {
             for (int i = 0; i < 2; i++) {
-                queue.add(new Socket(server.getInetAddress(), server.getLocalPort()));
+                connections.add(new Socket(server.getInetAddress(), server.getLocalPort()));
             }
         }
 
@@ -323,7 +324,7 @@
 
         @Override
         public void close() throws IOException {
-            for (Socket socket : queue) {
+            for (Socket socket : connections) {
                 socket.close();
             }
             server.close();
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -17,40 +17,40 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** A process that takes everything back, as the new one has failed before it owned, goes on in full. */
+/** A process whose successor fails before it owns the journal takes the journal back and continues to serve. */
 class HandoverRecoveryTest extends SenderFixture {
-    private static final long BYTES = 40_000;
+    private static final long JOURNAL_BYTES = 40_000;
     private static final long BUDGET_MS = 3000;
 
-    /** Asks to take over as a new process does, and reads the state; nobody decides anything then. */
-    private SocketChannel takenOver() throws Exception {
-        SocketChannel link = SocketChannel.open(UnixDomainSocketAddress.of(config().handover()));
-        link.write(ByteBuffer.wrap("{\"do\":\"handover\"}\n".getBytes(StandardCharsets.UTF_8)));
+    /** Asks for a handover as a successor does, and reads the state. From then on neither process makes decisions. */
+    private SocketChannel requestHandover() throws Exception {
+        SocketChannel connection = SocketChannel.open(UnixDomainSocketAddress.of(config().handover()));
+        connection.write(ByteBuffer.wrap("{\"do\":\"handover\"}\n".getBytes(StandardCharsets.UTF_8)));
         ByteBuffer part = ByteBuffer.allocate(1 << 16);
         do {
             part.clear();
-            assertEquals(true, link.read(part) > 0, "the state");
+            assertEquals(true, connection.read(part) > 0, "the state");
         } while (part.get(part.position() - 1) != '\n');
-        return link;
+        return connection;
     }
 
-    /** Its call is out, so the old process could not end it before the handover. */
+    /** The message's call is in flight, so the predecessor could not end the message before the handover. */
     @Test
-    void whatFallsDueWhileTheNewProcessStillComesToOwnEndsInItsTime() throws Exception {
+    void messageThatFallsDueWhileSuccessorStartsEndsInTime() throws Exception {
         endpoints.forEach(endpoint -> endpoint.script(StubServer.silent()));
         start();
         long sentNanos = System.nanoTime();
         exchange(client(), message("due", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BUDGET_MS));
-        StubServer.await("it is called for",
+        StubServer.await("the call is in flight",
                 () -> endpoints.stream().anyMatch(endpoint -> !endpoint.requests.isEmpty()));
-        try (SocketChannel link = takenOver()) {
+        try (SocketChannel connection = requestHandover()) {
             StubServer.await("its notice", () -> !notices.isEmpty());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
             assertTrue(tookMs <= BUDGET_MS + DeadlineRecord.TOLERANCE_MS, "its end came after " + tookMs + " ms");
-            assertTrue(link.isOpen());
+            assertTrue(connection.isOpen());
         }
-        StubServer.await("it is this process's again, and ends here", () -> notices.size() == 2);
-        StubServer.await("it takes messages again", this::takesMessages);
+        StubServer.await("the message is this process's again, and ends here", () -> notices.size() == 2);
+        StubServer.await("the sender accepts messages again", this::acceptsMessages);
     }
 
     private boolean isOwned(Path state) {
@@ -63,32 +63,35 @@
         }
     }
 
-    /** As with ENFILE: the first try takes the lock and fails behind it; the next finds the lock taken, by itself. */
+    /**
+     * As with ENFILE: the first attempt to take the journal back takes the lock and then fails to open the journal; the
+     * next one must not fail because this process already has the lock.
+     */
     @Test
-    void aJournalThatCanNotBeOpenedForAMomentIsOpenedAgain() throws Exception {
+    void journalThatBrieflyFailsToOpenIsOpenedAgain() throws Exception {
         start();
         Path state = folder.resolve("state");
-        SocketChannel link = takenOver();
+        SocketChannel connection = requestHandover();
         Files.move(state.resolve("journal"), folder.resolve("away"));
         Files.createDirectory(state.resolve("journal"));
-        link.close();
-        StubServer.await("it has the lock again", () -> isOwned(state));
-        // One exchange with its event loop: the try that took the lock has failed by now.
+        connection.close();
+        StubServer.await("the sender has the lock again", () -> isOwned(state));
+        // The event loop answers a request, so the attempt that took the lock has failed by now.
         healthStatus();
         Files.delete(state.resolve("journal"));
         Files.move(folder.resolve("away"), state.resolve("journal"));
-        StubServer.await("it takes messages again", this::takesMessages);
+        StubServer.await("the sender accepts messages again", this::acceptsMessages);
     }
 
-    /** The same without the failure, as a control. */
+    /** A control for the test above: the same without a failure to open the journal. */
     @Test
-    void aProcessThatTakesEverythingBackTakesMessagesAgain() throws Exception {
+    void processAcceptsMessagesAgainAfterFailedHandover() throws Exception {
         start();
-        takenOver().close();
-        StubServer.await("it takes messages again", this::takesMessages);
+        requestHandover().close();
+        StubServer.await("the sender accepts messages again", this::acceptsMessages);
     }
 
-    private boolean takesMessages() {
+    private boolean acceptsMessages() {
         try {
             return exchange(client(), message("m" + clients.size(), "plain", "hello")).line().contains("202");
         } catch (Exception e) {
@@ -96,110 +99,113 @@
         }
     }
 
-    /** The new process writes while it comes to own, and says so only after that: a compacted copy has another length. */
+    /**
+     * The successor writes to the journal before it reports that it owns it. If it fails in between, its compacted copy
+     * has another length than the journal that the predecessor knows.
+     */
     @Test
-    void aJournalThatTheNewProcessHasCompactedBeforeItFailedLosesNothing() throws Exception {
+    void journalCompactedByFailedSuccessorLosesNothing() throws Exception {
         Path state = folder.resolve("state");
-        try (Journal old = new Journal(state, BYTES, 12)) {
-            old.taken(held(old, "first"));
-            // Close to where it is compacted.
-            for (int i = 0; old.size() < BYTES - 3 * 512 - 600; i++) {
-                old.withdrawn("s-1", i % 2 == 0);
+        try (Journal predecessor = new Journal(state, JOURNAL_BYTES, 12)) {
+            predecessor.taken(accepted(predecessor, "first"));
+            // Fills the journal until it is close to its next compaction.
+            for (int i = 0; predecessor.size() < JOURNAL_BYTES - 3 * 512 - 600; i++) {
+                predecessor.withdrawn("s-1", i % 2 == 0);
             }
-            old.pause();
-            try (Journal next = new Journal(state, BYTES, 12)) {
-                // As Sender.own does with the list, before it tells the old process that it owns.
-                for (int i = 0; next.size() > BYTES / 2; i++) {
-                    next.withdrawn("s-2", i % 2 == 0);
+            predecessor.pause();
+            try (Journal successor = new Journal(state, JOURNAL_BYTES, 12)) {
+                // As Sender.own does with the endpoint list, before it tells the predecessor that it owns the journal.
+                for (int i = 0; successor.size() > JOURNAL_BYTES / 2; i++) {
+                    successor.withdrawn("s-2", i % 2 == 0);
                 }
             }
-            old.resume();
-            old.taken(held(old, "later"));
+            predecessor.resume();
+            predecessor.taken(accepted(predecessor, "later"));
         }
-        try (Journal read = new Journal(state, BYTES, 12)) {
-            assertEquals(List.of("first", "later"), read.held().stream().map(held -> held.id).toList());
+        try (Journal reopened = new Journal(state, JOURNAL_BYTES, 12)) {
+            assertEquals(List.of("first", "later"), reopened.held().stream().map(accepted -> accepted.id).toList());
         }
     }
 
-    private static AcceptedMessage held(Journal journal, String id) {
+    private static AcceptedMessage accepted(Journal journal, String id) {
         return new AcceptedMessage(journal.nextNumber(), id, "plain", "acme", Optional.empty(), Optional.empty(), 7,
                 journal.clock().nowMs() + 10_000, "hello".getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** By the terms, a request that was read and then closed with no answer is lost. */
+    /** By the rules for clients, a request that was read and whose connection is then closed without an answer is lost. */
     @Test
-    void aRequestWhoseMessageTheModuleFailsOnIsAnswered() throws Exception {
+    void requestIsAnsweredIfPolicyThrowsOnItsMessage() throws Exception {
         start();
         AtomicBoolean failed = new AtomicBoolean();
         beforeEvent = (event, arguments) -> {
             if (event.equals("turnsAway") && failed.compareAndSet(false, true)) {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("fault injected by the test");
             }
         };
-        assertNotNull(exchange(client(), message("m", "plain", "hello")), "read, and closed with no answer");
+        assertNotNull(exchange(client(), message("m", "plain", "hello")), "the connection was closed without an answer");
     }
 
-    /** The new process has its state and is slow to own: nobody decides anything. */
+    /** The successor has the state and is slow to become the owner: neither process makes decisions. */
     @Test
-    void aMessageWhoseTimeRunsOutInAHandoverIsEndedInTime() throws Exception {
+    void messageThatExpiresDuringHandoverEndsInTime() throws Exception {
         long budgetMs = 1300;
         endpointStates = "DRAINING DRAINING";
         start();
-        long handedInAt = System.nanoTime();
+        long submittedNanos = System.nanoTime();
         String request = message("late", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
-        try (SocketChannel link = takenOver()) {
+        try (SocketChannel connection = requestHandover()) {
             StubServer.await("the notice", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
-            long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedInAt);
+            long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedNanos);
             assertTrue(tookMs <= budgetMs + 350, "it took " + tookMs + " ms");
-            assertTrue(link.isOpen());
+            assertTrue(connection.isOpen());
         }
     }
 
-    /** No compacted copy can be made; the file itself can be appended to. */
-    private SocketChannel takenOverWithNoRoomForACopy() throws Exception {
-        SocketChannel link = takenOver();
+    /** Lets no compacted copy of the journal be written, while the journal itself can be appended to. */
+    private SocketChannel requestHandoverWithoutRoomForCompactedCopy() throws Exception {
+        SocketChannel connection = requestHandover();
         Files.createDirectories(folder.resolve("state/journal.next/in-the-way"));
-        return link;
+        return connection;
     }
 
     @Test
-    void aProcessThatTakesEverythingBackTakesMessagesThoughThereIsNoRoomForACopy() throws Exception {
+    void processAcceptsMessagesAfterFailedHandoverWithoutRoomForCompactedCopy() throws Exception {
         start();
-        takenOverWithNoRoomForACopy().close();
-        StubServer.await("it takes messages again", this::takesMessages);
+        requestHandoverWithoutRoomForCompactedCopy().close();
+        StubServer.await("the sender accepts messages again", this::acceptsMessages);
     }
 
     @Test
-    void aMessageIsEndedInTimeThoughThereIsNoRoomForACopy() throws Exception {
+    void messageEndsInTimeWithoutRoomForCompactedCopy() throws Exception {
         long budgetMs = 2400;
         script(StubServer.silent());
         start();
-        long handedInAt = System.nanoTime();
+        long submittedNanos = System.nanoTime();
         String request = message("late", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
-        takenOverWithNoRoomForACopy().close();
+        requestHandoverWithoutRoomForCompactedCopy().close();
         StubServer.await("the notice", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - handedInAt);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedNanos);
         assertTrue(tookMs <= budgetMs + 350, "it took " + tookMs + " ms");
     }
 
     @Test
-    void aDiskThatFailsForAWhileDoesNotKeepTheJournalFromGoingOn() throws Exception {
+    void journalResumesAfterTemporaryDiskFailure() throws Exception {
         FailingDisk disk = new FailingDisk();
         Path state = folder.resolve("state");
-        try (Journal old = new Journal(state, BYTES, 12, disk, TimeSource.SYSTEM)) {
-            AcceptedMessage held = held(old, "ended");
-            old.taken(held);
-            old.pause();
+        try (Journal predecessor = new Journal(state, JOURNAL_BYTES, 12, disk, TimeSource.SYSTEM)) {
+            AcceptedMessage accepted = accepted(predecessor, "ended");
+            predecessor.taken(accepted);
+            predecessor.pause();
             disk.room = 0;
-            old.resume();
-            old.ended(held);
+            predecessor.resume();
+            predecessor.ended(accepted);
             disk.mend();
-            assertTrue(old.catchUp());
+            assertTrue(predecessor.catchUp());
         }
-        try (Journal read = new Journal(state, BYTES, 12)) {
-            assertEquals(0, read.held().size());
+        try (Journal reopened = new Journal(state, JOURNAL_BYTES, 12)) {
+            assertEquals(0, reopened.held().size());
         }
     }
 }
--- a/src/test/java/starlingvalve/net/HandoverTest.java
+++ b/src/test/java/starlingvalve/net/HandoverTest.java
@@ -25,50 +25,50 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The old side of an upgrade, with a new process that the test plays. */
+/** The old side of an upgrade; the test plays the successor. */
 class HandoverTest {
     @TempDir
     private Path folder;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final List<String> heard = new CopyOnWriteArrayList<>();
+    private final List<String> events = new CopyOnWriteArrayList<>();
     private Path path;
     private Handover handover;
 
-    private final Handover.Callbacks estate = new Handover.Callbacks() {
+    private final Handover.Callbacks callbacks = new Handover.Callbacks() {
         @Override
         public boolean canHandOver() {
             return true;
         }
 
         @Override
-        public void freeze(Consumer<Optional<ObjectNode>> state) {
-            heard.add("freeze");
-            state.accept(Optional.of(HandoverConnection.line("state")));
+        public void freeze(Consumer<Optional<ObjectNode>> callback) {
+            events.add("freeze");
+            callback.accept(Optional.of(HandoverConnection.line("state")));
         }
 
         @Override
         public void unfreeze() {
-            heard.add("unfreeze");
+            events.add("unfreeze");
         }
 
         @Override
         public void left() {
-            heard.add("left");
+            events.add("left");
         }
 
         @Override
         public void cancel(long message, int attempt) {
-            heard.add("cancel");
+            events.add("cancel");
         }
     };
 
     @BeforeEach
     void open() throws Exception {
         path = folder.resolve("socket");
-        handover = new Handover(loop, estate);
+        handover = new Handover(loop, callbacks);
         loop.submit(() -> handover.listen(path)).sync();
-        StubServer.await("it listens", () -> Files.exists(path));
+        StubServer.await("the handover listens", () -> Files.exists(path));
     }
 
     @AfterEach
@@ -76,46 +76,47 @@
         group.shutdownGracefully().syncUninterruptibly();
     }
 
-    private SocketChannel asked() throws IOException {
-        SocketChannel link = SocketChannel.open(UnixDomainSocketAddress.of(path));
-        write(link, "{\"do\":\"handover\"}\n");
+    /** Asks for a handover as a successor does, and reads the state. */
+    private SocketChannel requestHandover() throws IOException {
+        SocketChannel connection = SocketChannel.open(UnixDomainSocketAddress.of(path));
+        write(connection, "{\"do\":\"handover\"}\n");
         ByteBuffer state = ByteBuffer.allocate(1024);
         while (state.position() == 0 || state.get(state.position() - 1) != '\n') {
-            link.read(state);
+            connection.read(state);
         }
-        return link;
+        return connection;
     }
 
-    private static void write(SocketChannel link, String line) throws IOException {
-        link.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
+    private static void write(SocketChannel connection, String line) throws IOException {
+        connection.write(ByteBuffer.wrap(line.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void theSocketOfTheNewProcessOutlivesTheOldProcesssListener() throws Exception {
-        try (SocketChannel link = asked()) {
+    void closingTheListenerKeepsTheSuccessorsSocket() throws Exception {
+        try (SocketChannel connection = requestHandover()) {
             Files.deleteIfExists(path);
-            try (ServerSocketChannel next = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
+            try (ServerSocketChannel successorListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                     .bind(UnixDomainSocketAddress.of(path))) {
-                write(link, "{\"do\":\"own\"}\n");
-                StubServer.await("the old one has left", () -> heard.contains("left"));
-                assertTrue(Files.exists(path), "the new process's socket is gone: no later upgrade reaches it");
+                write(connection, "{\"do\":\"own\"}\n");
+                StubServer.await("the handover is complete", () -> events.contains("left"));
+                assertTrue(Files.exists(path), "the successor's socket is deleted: no later upgrade can reach it");
             }
         }
     }
 
-    /** One that can't be done must not keep the others from being done. */
+    /** A local action that throws must not prevent the others from running. */
     @Test
-    void whatWasPassedOnIsDoneHereThoughOneOfItFailsIfTheNewProcessFails() throws Exception {
-        SocketChannel link = asked();
+    void failedSuccessorLetsAllLocalActionsRunThoughOneThrows() throws Exception {
+        SocketChannel connection = requestHandover();
         loop.submit(() -> {
             handover.tell(HandoverConnection.line("ended"), () -> {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("fault injected by the test");
             });
-            handover.tell(HandoverConnection.line("ended"), () -> heard.add("second"));
+            handover.tell(HandoverConnection.line("ended"), () -> events.add("second"));
         }).sync();
-        link.close();
-        StubServer.await("it goes on", () -> heard.contains("unfreeze"));
+        connection.close();
+        StubServer.await("the process takes the journal back", () -> events.contains("unfreeze"));
         loop.submit(() -> { }).sync();
-        assertTrue(heard.contains("second"), "what stood behind the one that failed is lost: " + heard);
+        assertTrue(events.contains("second"), "the action after the one that failed has not run: " + events);
     }
 }
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The new process of an upgrade can't make its listening socket for a moment, while the old one has let go of all. */
+/**
+ * Brief faults in a successor process, such as one in creating its listening socket, when the predecessor has already
+ * released the journal and its lock.
+ */
 class TakeoverListenFaultTest {
     private static final long START_PATIENCE_MS = 500;
 
@@ -44,9 +47,9 @@
         group.shutdownGracefully().syncUninterruptibly();
     }
 
-    /** A new process that fails where it is told to. */
+    /** A successor that fails to listen and to own. */
     private static class FailingTakeoverCallbacks implements Takeover.Callbacks {
-        final AtomicInteger asked = new AtomicInteger();
+        final AtomicInteger listenCalls = new AtomicInteger();
         final AtomicInteger failures = new AtomicInteger();
 
         @Override
@@ -55,23 +58,23 @@
         }
 
         @Override
-        public void listenAlongside(Runnable then, Runnable failed) {
-            asked.incrementAndGet();
-            throw new ClassCastException("as Intake.listen throws where no socket can be made");
+        public void listenAlongside(Runnable successCallback, Runnable failureCallback) {
+            listenCalls.incrementAndGet();
+            throw new ClassCastException("as SubmissionServer.listen throws if no socket can be created");
         }
 
         @Override
         public void listenNoMore() {
-            // It never listens.
+            // This successor never listens.
         }
 
         @Override
         public void own(StateLock lock, Optional<JsonNode> state) throws IOException {
-            throw new OutOfMemoryError("as where the state does not fit beside the old process");
+            throw new OutOfMemoryError("as if the state does not fit into memory beside the predecessor");
         }
 
         @Override
-        public void failed(Throwable why) {
+        public void failed(Throwable cause) {
             failures.incrementAndGet();
         }
 
@@ -82,121 +85,128 @@
 
         @Override
         public void gone() {
-            // It never owns.
+            // This successor never owns the journal.
         }
     }
 
-    /** An error leaves the process with the lock, and nobody that lets go of it: the old process waits for it for good. */
+    /**
+     * After an error that is not reported nobody would release this process's lock, and the predecessor would wait for it
+     * forever.
+     */
     @Test
-    void anErrorOnTheWayToOwningIsToldAsAFailure() throws Exception {
-        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks();
-        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS), heir);
+    void errorWhileBecomingOwnerIsReportedAsFailure() throws Exception {
+        FailingTakeoverCallbacks callbacks = new FailingTakeoverCallbacks();
+        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+                callbacks);
         loop.submit(takeover::begin).await();
-        assertEquals(1, heir.failures.get());
+        assertEquals(1, callbacks.failures.get());
     }
 
-    /** What is thrown on the way to listening, where the old process waits for "own" or for the end of the link. */
+    /** An exception in listening, while the predecessor waits for "own" or for the end of the connection. */
     @Test
     @Timeout(30)
-    void aFaultInListeningGivesEverythingBackToTheOldProcess() throws Exception {
-        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks();
+    void exceptionInListeningReturnsOwnershipToPredecessor() throws Exception {
+        FailingTakeoverCallbacks callbacks = new FailingTakeoverCallbacks();
         try (StateLock lock = StateLock.take(folder).orElseThrow();
-                ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
+                ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                         .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
-            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS), heir);
+            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+                    callbacks);
             loop.execute(takeover::begin);
-            try (SocketChannel link = old.accept()) {
-                link.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
-                StubServer.await("it tries to listen", () -> heir.asked.get() == 1);
-                ByteBuffer read = ByteBuffer.allocate(1024);
-                while (link.read(read) >= 0) {
-                    read.clear();
+            try (SocketChannel connection = predecessor.accept()) {
+                connection.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
+                StubServer.await("the takeover tries to listen", () -> callbacks.listenCalls.get() == 1);
+                ByteBuffer buffer = ByteBuffer.allocate(1024);
+                while (connection.read(buffer) >= 0) {
+                    buffer.clear();
                 }
-                // The link has ended, so the old process goes on; before, this read waits for good.
+                // The connection has ended, so the predecessor remains the owner. With the fault it never ended.
             }
         }
     }
 
     @Test
     @Timeout(30)
-    void aNewProcessThatCanNotOpenTheJournalForAMomentAsksAgainInsteadOfEnding() throws Exception {
-        AtomicInteger tries = new AtomicInteger();
-        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks() {
+    void journalThatBrieflyFailsToOpenLeadsToAnotherRequest() throws Exception {
+        AtomicInteger ownCalls = new AtomicInteger();
+        FailingTakeoverCallbacks callbacks = new FailingTakeoverCallbacks() {
             @Override
-            public void listenAlongside(Runnable then, Runnable failed) {
-                then.run();
+            public void listenAlongside(Runnable successCallback, Runnable failureCallback) {
+                successCallback.run();
             }
 
             @Override
             public void own(StateLock lock, Optional<JsonNode> state) throws IOException {
-                if (tries.incrementAndGet() == 1) {
+                if (ownCalls.incrementAndGet() == 1) {
                     throw new IOException("Input/output error");
                 }
             }
         };
         StateLock lock = StateLock.take(folder).orElseThrow();
-        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
+        try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
-            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS), heir);
+            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+                    callbacks);
             loop.execute(takeover::begin);
-            try (SocketChannel link = old.accept()) {
+            try (SocketChannel connection = predecessor.accept()) {
                 lock.close();
-                link.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
-                ByteBuffer read = ByteBuffer.allocate(1024);
-                while (!new String(read.array(), StandardCharsets.UTF_8).contains("{\"do\":\"declined\"}\n")) {
-                    assertTrue(link.read(read) >= 0, "it has ended without a word");
+                connection.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
+                ByteBuffer buffer = ByteBuffer.allocate(1024);
+                while (!new String(buffer.array(), StandardCharsets.UTF_8).contains("{\"do\":\"declined\"}\n")) {
+                    assertTrue(connection.read(buffer) >= 0, "the connection has ended without a line");
                 }
-                // As the old process does before it ends the link.
-                StateLock.take(folder).orElseThrow(() -> new AssertionError("the lock is kept")).close();
+                // As the predecessor does before it closes the connection.
+                StateLock.take(folder).orElseThrow(() -> new AssertionError("the successor has the lock")).close();
             }
-            StubServer.await("it owns once the old process has gone", () -> tries.get() == 2);
-            assertEquals(0, heir.failures.get());
+            StubServer.await("the successor owns once the predecessor has ended", () -> ownCalls.get() == 2);
+            assertEquals(0, callbacks.failures.get());
         }
     }
 
-    /** The old process, alive and with its calls out, has still to take its lock back. */
+    /** The predecessor still runs, with calls in flight, and has yet to take its lock back. */
     @Test
     @Timeout(30)
-    void aNewProcessThatGaveUpStartsBesideNoOldOneThatHasStillToTakeItsLock() throws Exception {
-        AtomicInteger owned = new AtomicInteger();
-        FailingTakeoverCallbacks heir = new FailingTakeoverCallbacks() {
+    void successorThatDeclinedLeavesTheFreeLockToItsPredecessor() throws Exception {
+        AtomicInteger ownCalls = new AtomicInteger();
+        FailingTakeoverCallbacks callbacks = new FailingTakeoverCallbacks() {
             @Override
             public void own(StateLock lock, Optional<JsonNode> state) {
-                owned.incrementAndGet();
+                ownCalls.incrementAndGet();
             }
         };
         StateLock lock = StateLock.take(folder).orElseThrow();
-        try (ServerSocketChannel old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
+        try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
-            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS), heir);
+            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+                    callbacks);
             loop.execute(takeover::begin);
-            try (SocketChannel link = old.accept()) {
+            try (SocketChannel connection = predecessor.accept()) {
                 lock.close();
-                link.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
-                ByteBuffer read = ByteBuffer.allocate(1024);
-                while (!new String(read.array(), StandardCharsets.UTF_8).contains("{\"do\":\"declined\"}\n")) {
-                    assertTrue(link.read(read) >= 0, "the link has ended, and the lock is free");
+                connection.write(ByteBuffer.wrap("{\"do\":\"state\"}\n".getBytes(StandardCharsets.UTF_8)));
+                ByteBuffer buffer = ByteBuffer.allocate(1024);
+                while (!new String(buffer.array(), StandardCharsets.UTF_8).contains("{\"do\":\"declined\"}\n")) {
+                    assertTrue(connection.read(buffer) >= 0, "the connection has ended, and the lock is free");
                 }
                 loop.submit(takeover::hasPredecessor).sync();
-                assertEquals(0, owned.get());
+                assertEquals(0, ownCalls.get());
             }
-            StubServer.await("it owns once the old process has gone", () -> owned.get() == 1);
+            StubServer.await("the successor owns once the predecessor has ended", () -> ownCalls.get() == 1);
         }
     }
 
-    /** Netty's channel of a bind that has made no socket is none of ours. */
+    /** If no socket can be created, the channel of Netty's bind future is not one of this program's classes. */
     @Test
-    void aSocketThatCanNotBeMadeIsToldAsAFailedBind() throws Exception {
-        SubmissionServer intake = new SubmissionServer(loop, 10, new RecordingSubmissionHandler());
+    void socketThatCanNotBeCreatedIsReportedAsFailedBind() throws Exception {
+        SubmissionServer server = new SubmissionServer(loop, 10, new RecordingSubmissionHandler());
         Field bootstrap = SubmissionServer.class.getDeclaredField("bootstrap");
         bootstrap.setAccessible(true);
         Field factory = AbstractBootstrap.class.getDeclaredField("channelFactory");
         factory.setAccessible(true);
-        factory.set((ServerBootstrap) bootstrap.get(intake), (ChannelFactory<?>) () -> {
+        factory.set((ServerBootstrap) bootstrap.get(server), (ChannelFactory<?>) () -> {
             throw new ChannelException("Failed to open a socket: too many open files in system");
         });
         Boolean succeeded = assertDoesNotThrow(() -> loop.submit(() ->
-                intake.listen(new InetSocketAddress("127.0.0.1", 0)).isSuccess()).get());
+                server.listen(new InetSocketAddress("127.0.0.1", 0)).isSuccess()).get());
         assertEquals(false, succeeded);
     }
 }
--- a/src/test/java/starlingvalve/net/TakeoverTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The new side of an upgrade, with an old process that the test plays. */
+/** The new side of an upgrade; the test plays the predecessor. */
 class TakeoverTest {
     private static final long START_PATIENCE_MS = 500;
 
@@ -31,152 +31,154 @@
     private Path folder;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final List<String> heard = new CopyOnWriteArrayList<>();
-    private final List<Runnable> listening = new CopyOnWriteArrayList<>();
-    private ServerSocketChannel old;
+    private final List<String> events = new CopyOnWriteArrayList<>();
+    private final List<Runnable> listenCallbacks = new CopyOnWriteArrayList<>();
+    private ServerSocketChannel predecessor;
     private StateLock lock;
     private volatile boolean ownFails;
 
-    private final Takeover.Callbacks heir = new Takeover.Callbacks() {
+    private final Takeover.Callbacks callbacks = new Takeover.Callbacks() {
         @Override
         public boolean prepared() {
             return true;
         }
 
         @Override
-        public void listenAlongside(Runnable then, Runnable failed) {
-            listening.add(then);
+        public void listenAlongside(Runnable successCallback, Runnable failureCallback) {
+            listenCallbacks.add(successCallback);
         }
 
         @Override
         public void listenNoMore() {
-            heard.add("listen no more");
+            events.add("listen no more");
         }
 
         @Override
-        public void own(StateLock token, Optional<JsonNode> state) {
-            heard.add(state.isPresent() ? "own with state" : "own");
-            token.close();
+        public void own(StateLock acquiredLock, Optional<JsonNode> state) {
+            events.add(state.isPresent() ? "own with state" : "own");
+            acquiredLock.close();
             if (ownFails) {
                 throw new IllegalStateException("the state can't be used");
             }
         }
 
         @Override
-        public void failed(Throwable why) {
-            heard.add("failed");
+        public void failed(Throwable cause) {
+            events.add("failed");
         }
 
         @Override
         public void reported(JsonNode line) {
             if (line.path("fails").asBoolean()) {
-                throw new IllegalStateException("a fault of the test's");
+                throw new IllegalStateException("fault injected by the test");
             }
-            heard.add(line.path("do").asText());
+            events.add(line.path("do").asText());
         }
 
         @Override
         public void gone() {
-            heard.add("gone");
+            events.add("gone");
         }
     };
 
     @BeforeEach
     void open() throws Exception {
         lock = StateLock.take(folder).orElseThrow();
-        old = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
+        predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")));
-        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS), heir);
+        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+                callbacks);
         loop.execute(takeover::begin);
     }
 
     @AfterEach
     void close() throws Exception {
-        old.close();
+        predecessor.close();
         lock.close();
         group.shutdownGracefully().syncUninterruptibly();
     }
 
-    private SocketChannel asked() throws IOException {
-        SocketChannel link = old.accept();
-        assertEquals("{\"do\":\"handover\"}\n", read(link));
-        return link;
+    /** Accepts a connection and reads the request for a handover. */
+    private SocketChannel acceptRequest() throws IOException {
+        SocketChannel connection = predecessor.accept();
+        assertEquals("{\"do\":\"handover\"}\n", read(connection));
+        return connection;
     }
 
-    private static String read(SocketChannel link) throws IOException {
+    private static String read(SocketChannel connection) throws IOException {
         ByteBuffer line = ByteBuffer.allocate(1024);
-        while (link.read(line) >= 0 && line.get(line.position() - 1) != '\n') {
-            // A line comes in any number of parts.
+        while (connection.read(line) >= 0 && line.get(line.position() - 1) != '\n') {
+            // A line may arrive in several parts.
         }
         return new String(line.array(), 0, line.position(), StandardCharsets.UTF_8);
     }
 
-    private static void write(SocketChannel link, String lines) throws IOException {
-        link.write(ByteBuffer.wrap(lines.getBytes(StandardCharsets.UTF_8)));
+    private static void write(SocketChannel connection, String lines) throws IOException {
+        connection.write(ByteBuffer.wrap(lines.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void whatIsReportedBeforeItOwnsIsHeardOnceItDoes() throws Exception {
-        try (SocketChannel link = asked()) {
-            write(link, "{\"do\":\"state\"}\n{\"do\":\"ended\"}\n{\"do\":\"submit\"}\n");
-            StubServer.await("it listens", () -> listening.size() == 1);
+    void reportsBeforeOwnershipAreHandledAfterIt() throws Exception {
+        try (SocketChannel connection = acceptRequest()) {
+            write(connection, "{\"do\":\"state\"}\n{\"do\":\"ended\"}\n{\"do\":\"submit\"}\n");
+            StubServer.await("the takeover listens", () -> listenCallbacks.size() == 1);
             lock.close();
             loop.submit(() -> { }).syncUninterruptibly();
-            assertEquals(List.of(), heard);
-            loop.execute(listening.get(0));
-            assertEquals("{\"do\":\"own\"}\n", read(link));
-            StubServer.await("the reports", () -> heard.size() == 3);
+            assertEquals(List.of(), events);
+            loop.execute(listenCallbacks.get(0));
+            assertEquals("{\"do\":\"own\"}\n", read(connection));
+            StubServer.await("the reports", () -> events.size() == 3);
         }
-        StubServer.await("the end", () -> heard.contains("gone"));
-        assertEquals(List.of("own with state", "ended", "submit", "gone"), heard);
+        StubServer.await("the end of the predecessor", () -> events.contains("gone"));
+        assertEquals(List.of("own with state", "ended", "submit", "gone"), events);
     }
 
     @Test
-    void anOldProcessThatDiesHalfWayLeavesAPlainStart() throws Exception {
-        try (SocketChannel link = asked()) {
-            write(link, "{\"do\":\"state\"}\n");
-            StubServer.await("it listens", () -> listening.size() == 1);
+    void predecessorThatDiesDuringHandoverLeadsToStartWithoutState() throws Exception {
+        try (SocketChannel connection = acceptRequest()) {
+            write(connection, "{\"do\":\"state\"}\n");
+            StubServer.await("the takeover listens", () -> listenCallbacks.size() == 1);
         }
         lock.close();
-        StubServer.await("it owns", () -> heard.contains("own"));
-        loop.submit(listening.get(0)).syncUninterruptibly();
-        assertEquals(List.of("listen no more", "own"), heard, "the state of a process that is gone is not taken");
+        StubServer.await("the takeover owns the journal", () -> events.contains("own"));
+        loop.submit(listenCallbacks.get(0)).syncUninterruptibly();
+        assertEquals(List.of("listen no more", "own"), events, "the state of a predecessor that has ended is not used");
     }
 
     @Test
-    void anOldProcessThatRefusesIsAskedAgain() throws Exception {
+    void predecessorThatRefusesIsAskedAgain() throws Exception {
         for (int i = 0; i < 3; i++) {
-            asked().close();
+            acceptRequest().close();
         }
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), events);
     }
 
     @Test
-    void aFaultOnTheWayToOwningIsTold() throws Exception {
+    void exceptionWhileBecomingOwnerIsReportedAsFailure() throws Exception {
         ownFails = true;
-        try (SocketChannel link = asked()) {
-            write(link, "{\"do\":\"state\"}\n");
-            StubServer.await("it listens", () -> listening.size() == 1);
+        try (SocketChannel connection = acceptRequest()) {
+            write(connection, "{\"do\":\"state\"}\n");
+            StubServer.await("the takeover listens", () -> listenCallbacks.size() == 1);
             lock.close();
-            loop.execute(listening.get(0));
-            StubServer.await("the failure", () -> heard.contains("failed"));
+            loop.execute(listenCallbacks.get(0));
+            StubServer.await("the failure", () -> events.contains("failed"));
         }
-        assertEquals(List.of("own with state", "failed"), heard);
+        assertEquals(List.of("own with state", "failed"), events);
     }
 
-    /** An attempt whose end is not heard would count as out for good. */
+    /** An attempt whose end was not handled would count as in flight forever. */
     @Test
-    void reportsBehindOneThatFailsAreStillHeard() throws Exception {
-        try (SocketChannel link = asked()) {
-            write(link, "{\"do\":\"state\"}\n{\"do\":\"ended\",\"fails\":true}\n{\"do\":\"ended\"}\n");
-            StubServer.await("it listens", () -> listening.size() == 1);
+    void reportsAfterOneThatFailsAreHandled() throws Exception {
+        try (SocketChannel connection = acceptRequest()) {
+            write(connection, "{\"do\":\"state\"}\n{\"do\":\"ended\",\"fails\":true}\n{\"do\":\"ended\"}\n");
+            StubServer.await("the takeover listens", () -> listenCallbacks.size() == 1);
             lock.close();
             loop.submit(() -> { }).syncUninterruptibly();
-            // As from a listener of a future, which keeps what is thrown to itself.
-            loop.newSucceededFuture(null).addListener(f -> listening.get(0).run());
-            assertEquals("{\"do\":\"own\"}\n", read(link));
+            // In production a listener of a future runs this, where an exception does not propagate.
+            loop.newSucceededFuture(null).addListener(done -> listenCallbacks.get(0).run());
+            assertEquals("{\"do\":\"own\"}\n", read(connection));
             loop.submit(() -> { }).syncUninterruptibly();
-            assertEquals(List.of("own with state", "ended"), heard);
+            assertEquals(List.of("own with state", "ended"), events);
         }
     }
 }
--- a/src/test/java/starlingvalve/net/UpgradeProcessTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeProcessTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The program as a process of its own, from which a second one takes over while messages wait and calls are out. */
+/** The sender as a process, from which a second process takes over while messages wait and calls are in flight. */
 class UpgradeProcessTest extends SenderProcessFixture {
     private static final String CLASSES = """
             {"name":"hedged","aim_ms":8000,"give_up_ms":24000,"repeat":"safe"},
@@ -30,13 +30,13 @@
         }
     }
 
-    private void handInOrdered(String id) throws IOException {
+    private void submitOrdered(String id) throws IOException {
         String request = TestConfig.message(id, "ordered", "hello").replace("/ordered", "/ordered?thread=one");
         assertEquals("202", ask(sender.address(), request).line().split(" ")[1]);
     }
 
     @Test
-    void messagesTakenAfterOneWhoseCopyEndedFirstAreDeliveredByTheNextProcess() throws Exception {
+    void messagesAcceptedAfterOneWhoseHedgeEndedFirstAreDeliveredBySuccessor() throws Exception {
         script((call, socket) -> {
             String id = ids(call).get(0);
             if (id.equals("hedged") && callsWith(id) == 2) {
@@ -49,15 +49,15 @@
         sender.start();
         handIn("hedged", "hedged");
         sender.awaitEvent("attempt-ended", "id=hedged", "attempt=1", "outcome=FULL");
-        handInOrdered("first");
-        StubServer.await("the first of the thread is out", () -> callsWith("first") == 1);
-        handInOrdered("second");
+        submitOrdered("first");
+        StubServer.await("the first message of the ordering key is in flight", () -> callsWith("first") == 1);
+        submitOrdered("second");
         successor = sender.successor().start();
         successor.awaitEvent("takeover", "open=3", "calls=2");
         sender.signal("TERM");
         answers.countDown();
         sender.awaitEnd();
-        StubServer.await("the second of the thread is delivered", () -> callsWith("second") == 1);
+        StubServer.await("the second message of the ordering key is delivered", () -> callsWith("second") == 1);
         sender = successor;
         awaitAllEnded();
     }
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -12,37 +12,37 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A new process of a sender takes over from an old one that still serves. */
+/** A successor process takes over from a sender that still serves. */
 class UpgradeTest extends SenderFixture {
-    /** Starts a new version beside the one that runs, and returns the old one. */
+    /** Starts a successor beside the running sender, and returns the latter. */
     private Sender upgrade() throws Exception {
-        Sender old = sender;
+        Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         start();
-        return old;
+        return predecessor;
     }
 
     @Test
-    void aNewVersionTakesOverWithWhatIsOutAndWithTheOldOnesClients() throws Exception {
+    void successorTakesOverCallsInFlightAndClients() throws Exception {
         start();
-        Socket kept = client();
-        assertEquals("HTTP/1.1 202 Accepted", exchange(kept, message("before", "order", "hello")).line());
+        Socket client = client();
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client, message("before", "order", "hello")).line());
         awaitEmptyJournal();
         script(StubServer.silent());
         submit("out", "once");
-        StubServer.await("it is out", () -> calls().size() == 2);
+        StubServer.await("the call is in flight", () -> calls().size() == 2);
         assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-1/maint"));
-        Sender old = upgrade();
+        Sender predecessor = upgrade();
         try {
             assertEquals("200 ok\n", operatorRequest("GET", "/healthcheck"));
             assertEquals(1, metric("in_flight"));
             assertEquals(1, metric("endpoints_excluded"));
-            assertEquals(0, metric("served.order"), "counts start with the process");
-            StubServer.Message passed = exchange(kept, message("passed", "order", "hello"));
-            assertEquals("HTTP/1.1 202 Accepted", passed.line());
-            assertEquals("close", passed.header("Connection"));
+            assertEquals(0, metric("served.order"), "counters start at zero in each process");
+            StubServer.Message forwarded = exchange(client, message("passed", "order", "hello"));
+            assertEquals("HTTP/1.1 202 Accepted", forwarded.line());
+            assertEquals("close", forwarded.header("Connection"));
             submit("after", "order");
-            StubServer.await("both are out", () -> calls().size() == 4);
+            StubServer.await("both calls are in flight", () -> calls().size() == 4);
             for (StubServer endpoint : endpoints) {
                 endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
@@ -51,48 +51,48 @@
             assertEquals(4, calls().size(), "nothing is sent twice");
             assertEquals(List.of(), notices);
         } finally {
-            old.kill();
+            predecessor.kill();
         }
     }
 
     @Test
-    void whatTheOldProcessHadOutMayHaveRunIfItIsKilled() throws Exception {
+    void callsInFlightMayHaveRunIfPredecessorIsKilled() throws Exception {
         script(StubServer.silent());
         start();
         submit("once", "once");
-        StubServer.await("it is out", () -> calls().size() == 1);
+        StubServer.await("the call is in flight", () -> calls().size() == 1);
         upgrade().kill();
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
         assertEquals(1, calls().size());
     }
 
     @Test
-    void ifTheNewProcessFailsBeforeItOwnsTheOldOneGoesOn() throws Exception {
+    void predecessorContinuesIfSuccessorFailsBeforeItOwns() throws Exception {
         start();
-        Socket kept = client();
-        try (SocketChannel fails = SocketChannel.open(UnixDomainSocketAddress.of(config().handover()))) {
-            fails.write(ByteBuffer.wrap("{\"do\":\"handover\"}\n".getBytes(StandardCharsets.UTF_8)));
+        Socket client = client();
+        try (SocketChannel connection = SocketChannel.open(UnixDomainSocketAddress.of(config().handover()))) {
+            connection.write(ByteBuffer.wrap("{\"do\":\"handover\"}\n".getBytes(StandardCharsets.UTF_8)));
             ByteBuffer state = ByteBuffer.allocate(1 << 16);
             while (state.position() == 0 || state.get(state.position() - 1) != '\n') {
-                fails.read(state);
+                connection.read(state);
             }
-            StubServer.write(kept, message("meanwhile", "order", "hello"));
+            StubServer.write(client, message("meanwhile", "order", "hello"));
         }
         assertEquals("HTTP/1.1 202 Accepted",
-                StubServer.read(new BufferedInputStream(kept.getInputStream()), 0).line());
+                StubServer.read(new BufferedInputStream(client.getInputStream()), 0).line());
         awaitEmptyJournal();
         assertEquals(1, calls().size());
-        Sender old = upgrade();
+        Sender predecessor = upgrade();
         try {
             submit("after", "order");
             awaitEmptyJournal();
         } finally {
-            old.kill();
+            predecessor.kill();
         }
     }
 
     @Test
-    void aSocketThatNobodyListensAtHoldsNoStartUp() throws Exception {
+    void socketWithoutListenerDoesNotDelayStart() throws Exception {
         Files.createFile(config().handover());
         start();
         submit("one", "order");
@@ -100,16 +100,16 @@
     }
 
     @Test
-    void clientsStaySentAwayOverAnUpgrade() throws Exception {
+    void clientDrainPersistsAcrossUpgrade() throws Exception {
         start();
         assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/fail"));
-        Sender old = upgrade();
+        Sender predecessor = upgrade();
         try {
             assertEquals("503", healthStatus());
             assertEquals("200 ok\n", operatorRequest("POST", "/healthcheck/ok"));
             assertEquals("200", healthStatus());
         } finally {
-            old.kill();
+            predecessor.kill();
         }
     }
 }
