--- a/src/main/java/starlingvalve/net/PredecessorCalls.java
+++ b/src/main/java/starlingvalve/net/PredecessorCalls.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * The predecessor's calls that were in flight at the handover, and the messages in them. The predecessor reports their
- * ends to this process.
+ * The predecessor's calls that were in flight at the handover, whose ends it reports to this process, and the messages
+ * that came with the handover.
  */
 final class PredecessorCalls {
     /** An attempt, by the number of its message and its number within that message. */
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -55,7 +55,7 @@
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), text).line());
     }
 
-    /** Waits until a message is delivered or ended by one notice; by the rule that takes its budget and 300 ms at most. */
+    /** Checks that a message is delivered or ended by one notice, within its budget and the tolerance of 300 ms. */
     private void awaitEnd(String id, long submittedNanos) throws Exception {
         long deadlineNanos = submittedNanos + TimeUnit.MILLISECONDS.toNanos(BUDGET_MS + 300);
         while (!hasEnded(id) && System.nanoTime() < deadlineNanos) {
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * As with ENFILE: the first attempt to take the journal back takes the lock and then fails to open the journal; the
-     * next one must not fail because this process already has the lock.
+     * As with ENFILE: the first attempt to take the journal back takes the lock and then fails to open the journal.
+     * The next attempt must not fail because this process has the lock already.
      */
     @Test
     void journalThatBrieflyFailsToOpenIsOpenedAgain() throws Exception {
@@ -132,7 +132,7 @@
                 journal.clock().nowMs() + 10_000, "hello".getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** By the rules for clients, a request that was read and whose connection is then closed without an answer is lost. */
+    /** A request that was read is lost, by the rules for clients, if its connection is closed without an answer. */
     @Test
     void requestIsAnsweredIfPolicyThrowsOnItsMessage() throws Exception {
         start();
@@ -142,7 +142,7 @@
                 throw new IllegalStateException("fault injected by the test");
             }
         };
-        assertNotNull(exchange(client(), message("m", "plain", "hello")), "the connection was closed without an answer");
+        assertNotNull(exchange(client(), message("m", "plain", "hello")), "the request is read but not answered");
     }
 
     /** The successor has the state and is slow to become the owner: neither process makes decisions. */
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -90,8 +90,8 @@
     }
 
     /**
-     * After an error that is not reported nobody would release this process's lock, and the predecessor would wait for it
-     * forever.
+     * After an error that is not reported nobody would release this process's lock, and the predecessor would wait for
+     * it forever.
      */
     @Test
     void errorWhileBecomingOwnerIsReportedAsFailure() throws Exception {
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -70,11 +70,11 @@
     void predecessorContinuesIfSuccessorFailsBeforeItOwns() throws Exception {
         start();
         Socket client = client();
-        try (SocketChannel connection = SocketChannel.open(UnixDomainSocketAddress.of(config().handover()))) {
-            connection.write(ByteBuffer.wrap("{\"do\":\"handover\"}\n".getBytes(StandardCharsets.UTF_8)));
+        try (SocketChannel failingSuccessor = SocketChannel.open(UnixDomainSocketAddress.of(config().handover()))) {
+            failingSuccessor.write(ByteBuffer.wrap("{\"do\":\"handover\"}\n".getBytes(StandardCharsets.UTF_8)));
             ByteBuffer state = ByteBuffer.allocate(1 << 16);
             while (state.position() == 0 || state.get(state.position() - 1) != '\n') {
-                connection.read(state);
+                failingSuccessor.read(state);
             }
             StubServer.write(client, message("meanwhile", "order", "hello"));
         }
