--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -168,7 +168,7 @@
         return unanswered.size();
     }
 
-    /** Forwards an event to the successor; if that fails before it owns the journal, the local action runs instead. */
+    /** Forwards an event to the successor. If the successor fails before it owns, the local action runs instead. */
     void tell(ObjectNode line, Runnable localAction) {
         if (phase == Phase.LEAVING || phase == Phase.RETURNING) {
             localActions.add(localAction);
