--- a/src/main/java/starlingvalve/net/AcceptRetry.java
+++ b/src/main/java/starlingvalve/net/AcceptRetry.java
@@ -14,7 +14,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        EventLog.ofThisProcess().add("accept-failed", "cause", String.valueOf(cause.getMessage()));
+        EventLog.shared().add("accept-failed", "cause", String.valueOf(cause.getMessage()));
         pause((ServerChannel) ctx.channel());
     }
 
--- a/src/main/java/starlingvalve/net/AgentConnection.java
+++ b/src/main/java/starlingvalve/net/AgentConnection.java
@@ -40,7 +40,7 @@
     private static final String RESPONSE_HANDLER = "response";
 
     private final EventLoop loop;
-    private final EventLog events = EventLog.ofThisProcess();
+    private final EventLog events = EventLog.shared();
     private InetSocketAddress address;
     private final Bootstrap bootstrap;
     private Channel channel;
--- a/src/main/java/starlingvalve/net/Config.java
+++ b/src/main/java/starlingvalve/net/Config.java
@@ -17,47 +17,67 @@
 import starlingvalve.SettingsParser;
 
 /**
- * What a sender is told at its start, by its environment and its JSON configuration; the environment comes
- * first. Settings keep their dotted names, so that the adapter and the sender read them in one way.
+ * Configuration of a sender, read at its start from environment variables and a JSON file; a variable overrides the
+ * file. Settings keep their dotted names, so that the simulator's adapter and the sender read them in the same way.
+ *
+ * @param name name of the sender in its log
+ * @param listen address at which clients submit messages
+ * @param ops address of the operators' HTTP server; none is started if it is empty
+ * @param discovery address of discovery's agent
+ * @param listLease rules for the time for which the endpoint list may be used
+ * @param state folder of the journal
+ * @param handover path of the Unix domain socket at which a successor process asks this one to hand over
+ * @param seed seed of the random numbers
+ * @param maxSockets number of file descriptors that the process may open
+ * @param diskBytes size limit of the journal
+ * @param settings settings of the delivery policy
+ * @param classes names of the message classes, by number
+ * @param tenants names of the tenants, by number
+ * @param kinds machine types of endpoints, by number
+ * @param zones zones of endpoints, by number
+ * @param maxOpenMessages number of open messages at which further submissions are rejected
+ * @param dialTimeoutMs time-out of connecting to an endpoint
+ * @param knownList endpoint list to use until discovery sends one
  */
 record Config(String name, InetSocketAddress listen, Optional<InetSocketAddress> ops,
-              InetSocketAddress discovery, ListLeasePolicy listLease, Path state, Path handover, long seed, int sockets,
-              long diskBytes, DeliveryPolicy.Settings settings, List<String> classes,
-              List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double dialMs,
-              Optional<JsonNode> known) {
-    /** The journal is read in one piece at the start and files count as memory: more is never used. */
-    private static final double MOST_DISK_MB = 12;
-    /** Of deployments that name none. */
+              InetSocketAddress discovery, ListLeasePolicy listLease, Path state, Path handover, long seed,
+              int maxSockets, long diskBytes, DeliveryPolicy.Settings settings, List<String> classes,
+              List<String> tenants, List<String> kinds, List<String> zones, int maxOpenMessages, double dialTimeoutMs,
+              Optional<JsonNode> knownList) {
+    /** Upper bound of the disk limit: the journal is read as a whole at the start, and files count as memory. */
+    private static final double MAX_DISK_MB = 12;
+    /** Grace period for calls to a draining endpoint, in deployments that configure none. */
     private static final double DEFAULT_DRAIN_GRACE_MS = 250;
-    /** Where changes of the list have to be asked for; in any other mode they are pushed. */
-    private static final String ASKED_MODE = "ask";
+    /** Registry mode in which the sender asks for changes of the endpoint list; otherwise they are pushed. */
+    private static final String ASK_MODE = "ask";
 
+    /** Reads the configuration that the environment names; a file that can't be opened is not retried. */
     static Config read(Map<String, String> env) throws IOException, InvalidInputException {
         return read(env, new StartRetry(0));
     }
 
-    /** The same; a file that is there and can't be opened for a moment is opened again. */
+    /** Reads the configuration; if the file exists but can't be read for a moment, {@code retry} reads it again. */
     static Config read(Map<String, String> env, StartRetry retry) throws IOException, InvalidInputException {
         Path file = Path.of(required(env, "GW_CONFIG"));
-        boolean mayBeOpened = Files.isRegularFile(file) && Files.isReadable(file);
-        byte[] bytes = mayBeOpened ? retry.untilDone("reading the configuration", () -> Files.readAllBytes(file))
+        boolean readable = Files.isRegularFile(file) && Files.isReadable(file);
+        byte[] bytes = readable ? retry.untilDone("reading the configuration", () -> Files.readAllBytes(file))
                 : Files.readAllBytes(file);
         JsonNode json = JsonMapper.builder().build().readTree(bytes);
         Map<String, String> values = new HashMap<>();
         flatten("", json.path("settings"), values);
         SettingsParser settings = new SettingsParser(values);
         JsonNode limits = json.path("limits");
-        double diskMb = Math.min(limits.path("disk_mb").asDouble(MOST_DISK_MB), MOST_DISK_MB);
+        double diskMb = Math.min(limits.path("disk_mb").asDouble(MAX_DISK_MB), MAX_DISK_MB);
         return new Config(
                 env.getOrDefault("GW_NAME", json.path("name").asText("sender")),
                 address(env.getOrDefault("GW_LISTEN", json.path("listen").asText())),
-                ops(env.getOrDefault("GW_OPS", json.path("ops").asText(""))),
+                optionalAddress(env.getOrDefault("GW_OPS", json.path("ops").asText(""))),
                 address(env.getOrDefault("GW_DISCOVERY", json.path("discovery").asText())),
-                ListLeasePolicy.of(!settings.textOr("registry_mode", "").equals(ASKED_MODE),
+                ListLeasePolicy.of(!settings.textOr("registry_mode", "").equals(ASK_MODE),
                         settings.numberOr("rules.drain_grace_ms", DEFAULT_DRAIN_GRACE_MS)),
                 Path.of(required(env, "GW_STATE")),
-                handover(env),
-                seed(json.path("seed").asText("0")),
+                handoverSocket(env),
+                parseSeed(json.path("seed").asText("0")),
                 limits.path("sockets").asInt(1024),
                 (long) (diskMb * 1_000_000),
                 settings.settings(),
@@ -71,41 +91,44 @@
                         ? Optional.of(json.path("known")) : Optional.empty());
     }
 
-    /** Where the configuration, which may be another by now, puts discovery. */
-    static InetSocketAddress discovery(Map<String, String> env) throws IOException, InvalidInputException {
-        return address(json(env).path("discovery").asText());
+    /** Reads discovery's address from the configuration file, which may have been replaced since the start. */
+    static InetSocketAddress readDiscovery(Map<String, String> env) throws IOException, InvalidInputException {
+        return address(readJson(env).path("discovery").asText());
     }
 
-    /** Where an old and a new process of one sender meet: its name is short, as a socket's must be. */
-    private static Path handover(Map<String, String> env) throws InvalidInputException {
+    /**
+     * Path of the socket at which a process of a sender meets its successor. The path of a Unix domain socket must
+     * be short, so the file name is a hash of the state folder's path.
+     */
+    private static Path handoverSocket(Map<String, String> env) throws InvalidInputException {
         Path folder = Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir")));
-        int which = Path.of(required(env, "GW_STATE")).toAbsolutePath().normalize().hashCode();
-        return folder.resolve(String.format("handover-%08x", which));
+        int stateHash = Path.of(required(env, "GW_STATE")).toAbsolutePath().normalize().hashCode();
+        return folder.resolve(String.format("handover-%08x", stateHash));
     }
 
-    private static Optional<InetSocketAddress> ops(String text) throws InvalidInputException {
+    private static Optional<InetSocketAddress> optionalAddress(String text) throws InvalidInputException {
         return text.isBlank() ? Optional.empty() : Optional.of(address(text));
     }
 
-    private static JsonNode json(Map<String, String> env) throws IOException, InvalidInputException {
+    private static JsonNode readJson(Map<String, String> env) throws IOException, InvalidInputException {
         return JsonMapper.builder().build().readTree(Files.readAllBytes(Path.of(required(env, "GW_CONFIG"))));
     }
 
-    /** An address as {@code 10.0.0.4:7070}; there is no DNS, so a host name is an error. */
+    /** Parses an address such as {@code 10.0.0.4:7070}; host names are invalid, since there is no DNS. */
     static InetSocketAddress address(String text) throws InvalidInputException {
-        int cut = text.lastIndexOf(':');
+        int colon = text.lastIndexOf(':');
         try {
-            if (cut < 1 || !text.substring(0, cut).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
+            if (colon < 1 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
                 throw new InvalidInputException("not an address with a port: '" + text + "'");
             }
-            return new InetSocketAddress(InetAddress.getByName(text.substring(0, cut)),
-                    Integer.parseInt(text.substring(cut + 1)));
+            return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
+                    Integer.parseInt(text.substring(colon + 1)));
         } catch (IOException | IllegalArgumentException e) {
             throw new InvalidInputException("not an address with a port: '" + text + "'");
         }
     }
 
-    /** Nested JSON as the dotted names of the simulator's wire. */
+    /** Adds nested JSON to {@code values} as settings with dotted names, the form in which the simulator sends them. */
     static void flatten(String name, JsonNode node, Map<String, String> values) {
         if (node.isObject()) {
             String prefix = name.isEmpty() ? "" : name + ".";
@@ -124,6 +147,7 @@
         }
     }
 
+    /** Names of the entries of a list of settings, such as {@code classes}. */
     private static List<String> names(SettingsParser settings, String list) throws InvalidInputException {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < settings.numberOr(list + ".count", 0); i++) {
@@ -132,7 +156,7 @@
         return names;
     }
 
-    private static long seed(String hex) throws InvalidInputException {
+    private static long parseSeed(String hex) throws InvalidInputException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -140,6 +164,7 @@
         }
     }
 
+    /** The value of a variable that must be set. */
     private static String required(Map<String, String> env, String name) throws InvalidInputException {
         String value = env.get(name);
         if (value == null || value.isEmpty()) {
--- a/src/main/java/starlingvalve/net/ConfigReload.java
+++ b/src/main/java/starlingvalve/net/ConfigReload.java
@@ -9,32 +9,32 @@
 
 /** Reads a configuration that was replaced while the sender runs. */
 final class ConfigReload {
-    /** A file that says something else is read again so often, within the 4 s that SIGHUP leaves. */
-    private static final int MOST_READS = 20;
-    /** One that can't be opened is tried so often: the old address will not answer again. */
-    private static final int MOST_OPENS = 600;
+    /** Reads of a file without a valid address; they must fit in the 4 s in which SIGHUP has to take effect. */
+    private static final int MAX_READS = 20;
+    /** Attempts to open a file; there are many, since discovery's previous address will not answer again. */
+    private static final int MAX_OPEN_ATTEMPTS = 600;
     private static final long RETRY_MS = 100;
 
     private ConfigReload() {
     }
 
     /**
-     * Where the new configuration puts discovery. A file that is just being replaced may be there in part only, or not
-     * at all: it is read again for a while, and for a minute if the system refuses to open it.
+     * Reads discovery's address from the new configuration. A file that is just being replaced may be incomplete or
+     * missing: it is read again for a while, and for a minute if the system refuses to open it.
      *
-     * @throws InvalidInputException if the file says something else than an address to the last
-     * @throws IOException if the file can't be read to the last
+     * @throws InvalidInputException if the last read still finds no valid address
+     * @throws IOException if the last attempt to read the file fails too
      */
     static InetSocketAddress readDiscovery(Map<String, String> env)
             throws InvalidInputException, IOException, InterruptedException {
-        for (int reads = 1; ; reads++) {
+        for (int attempts = 1; ; attempts++) {
             try {
-                return Config.discovery(env);
+                return Config.readDiscovery(env);
             } catch (InvalidInputException | IOException | IllegalArgumentException e) {
-                if (reads >= (e instanceof FileSystemException ? MOST_OPENS : MOST_READS)) {
+                if (attempts >= (e instanceof FileSystemException ? MAX_OPEN_ATTEMPTS : MAX_READS)) {
                     throw e;
                 }
-                if (reads == 1) {
+                if (attempts == 1) {
                     Log.line("the new configuration can't be read yet: " + e.getMessage());
                 }
             }
--- a/src/main/java/starlingvalve/net/DescriptorBudget.java
+++ b/src/main/java/starlingvalve/net/DescriptorBudget.java
@@ -34,7 +34,7 @@
     /** To discovery and for notices: those in use, and those given up while connecting; and those for checks. */
     private static final int AGENT_CONNECTIONS = 6 + ListLease.MOST_CHECKS;
     private static final int RESERVED_BESIDES_JVM = FILES + LISTENERS + AGENT_CONNECTIONS
-            + OperatorServer.MOST_CONNECTIONS + 2 * ACCEPT_BURST;
+            + OperatorServer.MAX_CONNECTIONS + 2 * ACCEPT_BURST;
     /** Clients use at most the limit divided by this for their requests. */
     private static final int REQUEST_DIVISOR = 3;
 
--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -56,7 +56,7 @@
     /** Where there is one, an answer with the whole list renews it. */
     private final Optional<ListLease> lease;
     private final LongSupplier nanoClock;
-    private final EventLog events = EventLog.ofThisProcess();
+    private final EventLog events = EventLog.shared();
     private boolean silent;
     /** When the last request was sent. */
     private long requestNanos;
--- a/src/main/java/starlingvalve/net/EventLog.java
+++ b/src/main/java/starlingvalve/net/EventLog.java
@@ -11,80 +11,81 @@
 import java.util.function.LongSupplier;
 
 /**
- * One line on standard error for each event in the life of a message or connection that is not the ordinary one: a
- * refusal, an attempt that did not deliver, a retry, a notice, a connection that is closed under a request. Each line
- * is {@code event=NAME key=value ...}, with the message's id. A message that is delivered by its first attempt leaves
- * no line.
+ * Writes one line on standard error for each unusual event of a message or a connection: a message rejected at
+ * admission, an attempt that did not deliver, a retry, a notice, a connection closed while a request was in progress.
+ * A line is a time stamp and {@code event=NAME key=value ...}, with the id of the message. A message that is delivered
+ * by its first attempt gets no line.
  *
- * <p>The event loop never waits for standard error: a thread of its own writes what is queued. Lines beyond the rate
- * limit, or beyond the queue, are left out and counted.
+ * <p>The event loop never waits for standard error: lines are queued, and a separate thread writes them. Lines that
+ * exceed the rate limit or don't fit in the queue are dropped, and the number of dropped lines is logged.
  */
 final class EventLog {
-    /** Lines that may come at once. */
-    static final int BURST = 500;
-    /** Lines in a second, in the long run. */
+    /** Largest number of lines in a burst. */
+    static final int MAX_BURST = 500;
+    /** Largest number of lines per second in the long run. */
     static final int LINES_PER_SECOND = 100;
     private static final int QUEUE_LENGTH = 1024;
-    /** So long lines are collected for one write; a kill may cost those. */
+    /** Time for which lines are collected for one write; a kill of the process may lose these lines. */
     private static final long COLLECT_MS = 10;
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
-    private final LongSupplier nanos;
-    private final Consumer<String> out;
+    private final LongSupplier nanoClock;
+    private final Consumer<String> output;
     private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_LENGTH);
-    private double tokens = BURST;
-    private long refilledAt;
-    private long leftOut;
+    private double tokens = MAX_BURST;
+    private long refilledNanos;
+    private long droppedLines;
 
-    /** With a clock and a destination of its own, for tests. */
-    EventLog(LongSupplier nanos, Consumer<String> out) {
-        this.nanos = nanos;
-        this.out = out;
-        this.refilledAt = nanos.getAsLong();
+    /** Creates a log without a writer thread; tests pass their own clock and output. */
+    EventLog(LongSupplier nanoClock, Consumer<String> output) {
+        this.nanoClock = nanoClock;
+        this.output = output;
+        this.refilledNanos = nanoClock.getAsLong();
     }
 
-    /** The one log of this process; its writer runs from the first use on. */
-    static EventLog ofThisProcess() {
-        return OfThisProcess.LOG;
+    /** The log of this process; its writer thread starts with the first use. */
+    static EventLog shared() {
+        return SharedInstance.LOG;
     }
 
-    private static final class OfThisProcess {
+    private static final class SharedInstance {
         private static final EventLog LOG = new EventLog(System::nanoTime, System.err::print);
 
         static {
-            Thread writer = new Thread(LOG::writeForever, "event-log");
+            Thread writer = new Thread(LOG::writeLoop, "event-log");
             writer.setDaemon(true);
             writer.start();
         }
     }
 
-    /** Adds a line; the fields are names and values in turn. */
+    /** Queues the line of an event, or drops and counts it; {@code fields} are alternating names and values. */
     synchronized void add(String event, Object... fields) {
         if (!takeToken()) {
-            leftOut++;
+            droppedLines++;
             return;
         }
-        if (leftOut > 0 && queue.offer(line("lines-left-out", "count", leftOut))) {
-            leftOut = 0;
+        if (droppedLines > 0 && queue.offer(line("lines-left-out", "count", droppedLines))) {
+            droppedLines = 0;
         }
         if (!queue.offer(line(event, fields))) {
-            leftOut++;
+            droppedLines++;
         }
     }
 
-    /** Writes what is queued, before the process ends. */
+    /** Writes all queued lines on the calling thread, as is needed before the process ends. */
     void flush() {
         List<String> lines = new ArrayList<>();
         queue.drainTo(lines);
         if (!lines.isEmpty()) {
-            out.accept(String.join("", lines));
+            output.accept(String.join("", lines));
         }
     }
 
+    /** Takes a token of the token bucket that limits the rate; returns false if it has none. */
     private boolean takeToken() {
-        long now = nanos.getAsLong();
-        tokens = Math.min(BURST, tokens + (double) (now - refilledAt) * LINES_PER_SECOND / NANOS_PER_SECOND);
-        refilledAt = now;
+        long now = nanoClock.getAsLong();
+        tokens = Math.min(MAX_BURST, tokens + (double) (now - refilledNanos) * LINES_PER_SECOND / NANOS_PER_SECOND);
+        refilledNanos = now;
         if (tokens < 1) {
             return false;
         }
@@ -101,21 +102,21 @@
         return line.append('\n').toString();
     }
 
-    /** A value is one word, whatever a peer has sent. */
+    /** Quotes a value that is not one plain word, and replaces its special characters: a peer may have sent it. */
     private static String value(Object value) {
         String text = String.valueOf(value);
         return text.chars().allMatch(c -> c > ' ' && c != '"' && c < 127) && !text.isEmpty() ? text
                 : '"' + text.replaceAll("[^ -~]", "?").replace('"', '\'') + '"';
     }
 
-    private void writeForever() {
+    private void writeLoop() {
         try {
             while (true) {
                 String first = queue.take();
                 Thread.sleep(COLLECT_MS);
                 List<String> lines = new ArrayList<>(List.of(first));
                 queue.drainTo(lines);
-                out.accept(String.join("", lines));
+                output.accept(String.join("", lines));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/starlingvalve/net/FaultIsolation.java
+++ b/src/main/java/starlingvalve/net/FaultIsolation.java
@@ -26,7 +26,7 @@
 
     /** Logs an exception that the caller handles. */
     static void report(RuntimeException fault) {
-        EventLog.ofThisProcess().add("fault", "cause", fault, "at",
+        EventLog.shared().add("fault", "cause", fault, "at",
                 Arrays.stream(fault.getStackTrace()).limit(LOGGED_FRAMES).toList());
     }
 }
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -36,7 +36,7 @@
     private final EventLoop loop;
     private final AgentConnection agent;
     private final Consumer<AcceptedMessage> heard;
-    private final EventLog events = EventLog.ofThisProcess();
+    private final EventLog events = EventLog.shared();
     private final ObjectMapper json = JsonMapper.builder().build();
     private final Deque<AcceptedMessage> owed = new ArrayDeque<>();
     /** Of those, what is still to be told once while another process takes over. */
--- a/src/main/java/starlingvalve/net/OperatorServer.java
+++ b/src/main/java/starlingvalve/net/OperatorServer.java
@@ -31,60 +31,66 @@
 import java.util.regex.Pattern;
 
 /**
- * Where operators call: HTTP/1.1, one call a connection. It knows the calls by their paths and methods; what
- * they do is the sender's. A caller that finishes no call is ended in time and holds up no other.
+ * HTTP/1.1 server for operators, with one request per connection. It maps paths and methods to commands, which
+ * {@link OperatorCommands} carries out. A client that doesn't complete its request is disconnected after a time limit
+ * and delays no other client.
  */
 final class OperatorServer {
-    /** Connections at once; the oldest makes room for one more. */
-    static final int MOST_CONNECTIONS = 16;
-    private static final long CALL_MS = 2500;
-    /** A call's body means nothing, so a long one is not read. */
-    private static final int LONGEST_BODY = 4096;
-    private static final Pattern ENDPOINT = Pattern.compile("/endpoints/([^/]+)/(maint|ready)");
-
-    /** How a call went: 2xx is yes, all else no; the text is for people. */
+    /** Limit on open connections; a further one closes the oldest. */
+    static final int MAX_CONNECTIONS = 16;
+    /** Time within which a request must be complete. */
+    private static final long REQUEST_TIMEOUT_MS = 2500;
+    /** The body of a request is ignored, so a longer one is not read. */
+    private static final int MAX_BODY_BYTES = 4096;
+    private static final Pattern ENDPOINT_PATH = Pattern.compile("/endpoints/([^/]+)/(maint|ready)");
+
+    /** Result of a command: a 2xx status means success, any other one failure; the text is for human readers. */
     record Answer(HttpResponseStatus status, String text) {
-        static final Answer YES = new Answer(HttpResponseStatus.OK, "ok\n");
+        static final Answer SUCCESS = new Answer(HttpResponseStatus.OK, "ok\n");
 
-        static Answer no(HttpResponseStatus status, String why) {
-            return new Answer(status, why + "\n");
+        /** A failure with a reason, which is sent as one line. */
+        static Answer error(HttpResponseStatus status, String reason) {
+            return new Answer(status, reason + "\n");
         }
     }
 
-    /** The sender's side of a call. What changes something answers once that is in force and will last. */
+    /**
+     * The commands of operators, carried out by the sender. A command that changes something is answered once the
+     * change is in effect and will survive a restart.
+     */
     interface OperatorCommands {
-        /** Whether this process can serve, drained or not. */
-        boolean serves();
+        /** Whether this process can serve, whether it is drained or not. */
+        boolean isServing();
 
-        /** The figures, as they stand. */
-        String figures();
+        /** The current metrics, as text. */
+        String statsText();
 
-        /** Leaves an endpoint out, or puts it back. */
-        void maintain(String endpoint, boolean out, Consumer<Answer> then);
+        /** Takes an endpoint out of service for maintenance, or puts it back. */
+        void setMaintenance(String endpoint, boolean inMaintenance, Consumer<Answer> callback);
 
-        /** Sends clients away, or takes them again. */
-        void drain(boolean on, Consumer<Answer> then);
+        /** Starts or stops draining: while drained, the sender sends clients away. */
+        void drain(boolean on, Consumer<Answer> callback);
     }
 
     private final EventLoop acceptor;
     private final EventLoop loop;
-    private final OperatorCommands desk;
-    /** The oldest first. */
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final OperatorCommands commands;
+    /** Open connections, the oldest first. */
+    private final Set<Channel> connections = new LinkedHashSet<>();
 
-    /** Accepts on the loop that also serves the connections, for tests. */
-    OperatorServer(EventLoop loop, OperatorCommands desk) {
-        this(loop, loop, desk);
+    /** Creates a server that accepts connections on the loop that also serves them, for tests. */
+    OperatorServer(EventLoop loop, OperatorCommands commands) {
+        this(loop, loop, commands);
     }
 
-    /** {@code acceptor} accepts connections and does nothing else; {@code loop} serves them. */
-    OperatorServer(EventLoop acceptor, EventLoop loop, OperatorCommands desk) {
+    /** Creates a server whose {@code acceptor} only accepts connections, and whose {@code loop} serves them. */
+    OperatorServer(EventLoop acceptor, EventLoop loop, OperatorCommands commands) {
         this.acceptor = acceptor;
         this.loop = loop;
-        this.desk = desk;
+        this.commands = commands;
     }
 
-    /** Begins to listen, and waits until it does: so it is not called on the loop. */
+    /** Binds to the address and returns the bound one. It blocks until then, so it must not be called on the loop. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
         return (InetSocketAddress) new ServerBootstrap().group(acceptor, loop)
                 .channelFactory(() -> new TcpListener(TcpListener.Admission.ALL))
@@ -95,43 +101,44 @@
                 .bind(address).syncUninterruptibly().channel().localAddress();
     }
 
-    /** What each connection goes through. */
+    /** Sets up the pipeline of each accepted connection. */
     ChannelInitializer<Channel> pipeline() {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new RequestDeadline(CALL_MS), new HttpServerCodec(),
-                        new HttpObjectAggregator(LONGEST_BODY, true), new Caller());
+                channel.pipeline().addLast(new RequestDeadline(REQUEST_TIMEOUT_MS), new HttpServerCodec(),
+                        new HttpObjectAggregator(MAX_BODY_BYTES, true), new RequestHandler());
             }
         };
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private boolean called;
+    /** Answers the first request of a connection and ignores any further one. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private boolean requestReceived;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            open.add(ctx.channel());
-            if (open.size() > MOST_CONNECTIONS) {
-                Channel oldest = open.iterator().next();
-                open.remove(oldest);
+            connections.add(ctx.channel());
+            if (connections.size() > MAX_CONNECTIONS) {
+                Channel oldest = connections.iterator().next();
+                connections.remove(oldest);
                 oldest.close();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open.remove(ctx.channel());
+            connections.remove(ctx.channel());
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (called) {
+            if (requestReceived) {
                 return;
             }
-            called = true;
+            requestReceived = true;
             ctx.pipeline().get(RequestDeadline.class).whole();
-            call(request, answer -> {
+            execute(request, answer -> {
                 FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, answer.status(),
                         Unpooled.copiedBuffer(answer.text(), StandardCharsets.UTF_8));
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
@@ -147,36 +154,38 @@
         }
     }
 
-    private void call(FullHttpRequest request, Consumer<Answer> then) {
+    /** Finds the command of a request and carries it out. */
+    private void execute(FullHttpRequest request, Consumer<Answer> callback) {
         if (request.decoderResult().isFailure()) {
-            then.accept(Answer.no(HttpResponseStatus.BAD_REQUEST, "not HTTP"));
+            callback.accept(Answer.error(HttpResponseStatus.BAD_REQUEST, "not HTTP"));
             return;
         }
         String path = request.uri().split("\\?", 2)[0];
-        Matcher endpoint = ENDPOINT.matcher(path);
-        boolean change = endpoint.matches() || path.equals("/healthcheck/fail") || path.equals("/healthcheck/ok");
-        if (!change && !path.equals("/healthcheck") && !path.equals("/stats")) {
-            then.accept(Answer.no(HttpResponseStatus.NOT_FOUND, "no such call"));
-        } else if (!request.method().equals(change ? HttpMethod.POST : HttpMethod.GET)) {
-            then.accept(Answer.no(HttpResponseStatus.METHOD_NOT_ALLOWED,
-                    path + " is called by " + (change ? "POST" : "GET")));
+        Matcher matcher = ENDPOINT_PATH.matcher(path);
+        boolean changesState = matcher.matches() || path.equals("/healthcheck/fail") || path.equals("/healthcheck/ok");
+        if (!changesState && !path.equals("/healthcheck") && !path.equals("/stats")) {
+            callback.accept(Answer.error(HttpResponseStatus.NOT_FOUND, "no such call"));
+        } else if (!request.method().equals(changesState ? HttpMethod.POST : HttpMethod.GET)) {
+            callback.accept(Answer.error(HttpResponseStatus.METHOD_NOT_ALLOWED,
+                    path + " is called by " + (changesState ? "POST" : "GET")));
         } else if (path.equals("/healthcheck")) {
-            then.accept(desk.serves() ? Answer.YES
-                    : Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve"));
+            callback.accept(commands.isServing() ? Answer.SUCCESS
+                    : Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve"));
         } else if (path.equals("/stats")) {
-            then.accept(new Answer(HttpResponseStatus.OK, desk.figures()));
-        } else if (endpoint.matches()) {
-            id(endpoint.group(1)).ifPresentOrElse(
-                    id -> desk.maintain(id, endpoint.group(2).equals("maint"), then),
-                    () -> then.accept(Answer.no(HttpResponseStatus.BAD_REQUEST, "the id can't be read")));
+            callback.accept(new Answer(HttpResponseStatus.OK, commands.statsText()));
+        } else if (matcher.matches()) {
+            decodeId(matcher.group(1)).ifPresentOrElse(
+                    id -> commands.setMaintenance(id, matcher.group(2).equals("maint"), callback),
+                    () -> callback.accept(Answer.error(HttpResponseStatus.BAD_REQUEST, "the id can't be read")));
         } else {
-            desk.drain(path.equals("/healthcheck/fail"), then);
+            commands.drain(path.equals("/healthcheck/fail"), callback);
         }
     }
 
-    private static Optional<String> id(String inPath) {
+    /** Decodes the endpoint id in a path; empty if it is not validly percent-encoded. */
+    private static Optional<String> decodeId(String encoded) {
         try {
-            return Optional.of(QueryStringDecoder.decodeComponent(inPath));
+            return Optional.of(QueryStringDecoder.decodeComponent(encoded));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -126,7 +126,7 @@
     private boolean ready;
     private boolean listening;
     private final Stats stats;
-    private final EventLog events = EventLog.ofThisProcess();
+    private final EventLog events = EventLog.shared();
 
     Sender(Config config, long shutdownAcceptMs, long shutdownLimitMs) throws IOException {
         this(config, shutdownAcceptMs, shutdownLimitMs, 0, policy -> policy);
@@ -224,9 +224,9 @@
     /** Creates the components and starts discovery; runs on the event loop. */
     private void openComponents() {
         int openAtStart = DescriptorBudget.openDescriptors();
-        DescriptorBudget budget = DescriptorBudget.divide(config.sockets(), openAtStart, config.settings().slots());
+        DescriptorBudget budget = DescriptorBudget.divide(config.maxSockets(), openAtStart, config.settings().slots());
         Log.line(budget + "; " + openAtStart + " were open at the start");
-        endpoints = new Endpoints(loop, config.dialMs(), config.settings().keepAliveMs(),
+        endpoints = new Endpoints(loop, config.dialTimeoutMs(), config.settings().keepAliveMs(),
                 config.settings().senders(), budget.idleEndpoints(), new EndpointCallbacks());
         notices = new NoticeClient(loop, new AgentConnection(loop, discoveryAddress), this::noticeAcknowledged);
         intake = new SubmissionServer(acceptor, loop, budget.clients(), new ClientCallbacks());
@@ -241,7 +241,7 @@
         listLease = new ListLease(loop, System::nanoTime, config.listLease(), list, checks);
         discovery = new Discovery(loop, new AgentConnection(loop, discoveryAddress), new Random(config.seed()), list,
                 listLease);
-        discovery.start(config.known());
+        discovery.start(config.knownList());
         listLease.start();
         new LoopMonitor(loop, events).start();
     }
@@ -993,7 +993,7 @@
             // Such a message could only time out. The list may be late, so the client may submit it again.
             return rejection(submission, "no endpoint of this dest is listed", 0);
         }
-        if (openMessages.size() >= config.maxOpen()) {
+        if (openMessages.size() >= config.maxOpenMessages()) {
             return rejection(submission, "no room", 0);
         }
         int messageClass = config.classes().indexOf(submission.messageClass());
@@ -1073,28 +1073,28 @@
     /** Carries out operators' commands. */
     private final class OperatorCallbacks implements OperatorServer.OperatorCommands {
         @Override
-        public boolean serves() {
+        public boolean isServing() {
             return ready && listening && !shuttingDown;
         }
 
         @Override
-        public String figures() {
+        public String statsText() {
             Set<Long> listed = registry.listed();
             int excluded = (int) listed.stream().filter(policy::isExcluded).count();
             return stats.text(new Stats.Gauges(openMessages.size(), listed.size(), excluded));
         }
 
         @Override
-        public void maintain(String endpoint, boolean inMaintenance, Consumer<OperatorServer.Answer> callback) {
+        public void setMaintenance(String endpoint, boolean inMaintenance, Consumer<OperatorServer.Answer> callback) {
             if (!ownsJournal || handover.leaving()) {
                 forward(HandoverConnection.line("maintain").put("endpoint", endpoint).put("on", inMaintenance),
-                        callback, () -> maintain(endpoint, inMaintenance, callback));
+                        callback, () -> setMaintenance(endpoint, inMaintenance, callback));
                 return;
             }
             OptionalLong number = registry.knownNumber(endpoint);
             boolean wasInMaintenance = journal.maintained().contains(endpoint);
             if (!wasInMaintenance && !(number.isPresent() && registry.isListed(number.getAsLong()))) {
-                callback.accept(OperatorServer.Answer.no(HttpResponseStatus.NOT_FOUND, "no endpoint " + endpoint));
+                callback.accept(OperatorServer.Answer.error(HttpResponseStatus.NOT_FOUND, "no endpoint " + endpoint));
                 return;
             }
             execute(callback,
@@ -1129,7 +1129,7 @@
         /** Forwards a command to the successor that takes over the journal; rejects it before this process owns it. */
         private void forward(ObjectNode line, Consumer<OperatorServer.Answer> callback, Runnable localAction) {
             if (!ownsJournal) {
-                callback.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
+                callback.accept(OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
                 return;
             }
             handover.ask(line, reply -> callback.accept(new OperatorServer.Answer(
@@ -1142,10 +1142,10 @@
             try {
                 command.execute();
                 Log.line(logText);
-                callback.accept(OperatorServer.Answer.YES);
+                callback.accept(OperatorServer.Answer.SUCCESS);
             } catch (IOException e) {
                 Log.line("an order can't be journalled, so it is not taken: " + e.getMessage());
-                callback.accept(OperatorServer.Answer.no(HttpResponseStatus.SERVICE_UNAVAILABLE,
+                callback.accept(OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE,
                         "the journal has no room"));
             }
         }
@@ -1367,7 +1367,7 @@
                 case "closed" -> predecessorCallClosed(message);
                 case "answered" -> submissionAnswered(message, line.path("heard").asBoolean());
                 case "submit" -> handleSubmission(line);
-                case "maintain" -> new OperatorCallbacks().maintain(line.path("endpoint").asText(),
+                case "maintain" -> new OperatorCallbacks().setMaintenance(line.path("endpoint").asText(),
                         line.path("on").asBoolean(), answer -> replyTo(line, answer));
                 case "drain" -> new OperatorCallbacks().drain(line.path("on").asBoolean(),
                         answer -> replyTo(line, answer));
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -45,7 +45,7 @@
     /** Watches through an agent, with no lease beside it. */
     private Discovery discovery(StubServer agent, Random random, EndpointList.Listener listener) {
         return new Discovery(loop, new AgentConnection(loop, agent.address()), random,
-                new EndpointList(listener, EventLog.ofThisProcess()), Optional.empty(), System::nanoTime);
+                new EndpointList(listener, EventLog.shared()), Optional.empty(), System::nanoTime);
     }
 
     private static FullHttpRequest request() {
--- a/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
@@ -93,7 +93,7 @@
                 if (toldMs < 0 && entries.get(0).id().equals("after")) {
                     toldMs = nowMs;
                 }
-            }, EventLog.ofThisProcess());
+            }, EventLog.shared());
             discovery = new Discovery(loop.eventLoop(), this, random, list, Optional.empty(),
                     () -> TimeUnit.MILLISECONDS.toNanos(nowMs));
         }
--- a/src/test/java/starlingvalve/net/DiscoveryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryTest.java
@@ -89,7 +89,7 @@
                 throw new IllegalStateException("a fault while a list is told");
             }
             entries.forEach(e -> listed.add((e.gone() ? "gone " : "") + e.id()));
-        }, EventLog.ofThisProcess());
+        }, EventLog.shared());
         return new Discovery(loop.eventLoop(), agent, new Random(seed), list, Optional.empty(),
                 () -> TimeUnit.MILLISECONDS.toNanos(now));
     }
--- a/src/test/java/starlingvalve/net/EndpointListTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListTest.java
@@ -26,7 +26,7 @@
             told.clear();
         }
         entries.forEach(entry -> told.put(entry.id(), entry.gone() ? "gone" : entry.serving() ? "serving" : "draining"));
-    }, EventLog.ofThisProcess());
+    }, EventLog.shared());
 
     private static Optional<FullHttpResponse> answer(int generation, boolean reset, String... entries) {
         return body("{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":["
--- a/src/test/java/starlingvalve/net/EventLogTest.java
+++ b/src/test/java/starlingvalve/net/EventLogTest.java
@@ -36,12 +36,12 @@
 
     @Test
     void linesBeyondTheRateAreCountedAndTheCountIsTold() {
-        for (int i = 0; i < EventLog.BURST + 7; i++) {
+        for (int i = 0; i < EventLog.MAX_BURST + 7; i++) {
             log.add("retry", "n", i);
         }
         List<String> burst = lines();
-        assertEquals(EventLog.BURST, burst.size());
-        assertEquals("event=retry n=" + (EventLog.BURST - 1), burst.get(burst.size() - 1));
+        assertEquals(EventLog.MAX_BURST, burst.size());
+        assertEquals("event=retry n=" + (EventLog.MAX_BURST - 1), burst.get(burst.size() - 1));
         nanos.addAndGet(TimeUnit.SECONDS.toNanos(1));
         log.add("retry", "n", "later");
         assertEquals(List.of("event=lines-left-out count=7", "event=retry n=later"), lines());
@@ -51,10 +51,10 @@
     void linesBeyondTheQueueAreCounted() {
         int added = 0;
         while (added < 3000) {
-            for (int i = 0; i < EventLog.BURST; i++, added++) {
+            for (int i = 0; i < EventLog.MAX_BURST; i++, added++) {
                 log.add("retry", "n", added);
             }
-            nanos.addAndGet(TimeUnit.SECONDS.toNanos(EventLog.BURST / EventLog.LINES_PER_SECOND));
+            nanos.addAndGet(TimeUnit.SECONDS.toNanos(EventLog.MAX_BURST / EventLog.LINES_PER_SECOND));
         }
         int kept = lines().size();
         assertTrue(kept < added, "the queue is bounded");
--- a/src/test/java/starlingvalve/net/ListLeaseTest.java
+++ b/src/test/java/starlingvalve/net/ListLeaseTest.java
@@ -31,7 +31,7 @@
     private final EmbeddedChannel loop = new EmbeddedChannel();
     private final List<String> drained = new ArrayList<>();
     private final EndpointList list = new EndpointList((whole, entries) -> entries.stream()
-            .filter(entry -> !entry.serving()).forEach(entry -> drained.add(entry.id())), EventLog.ofThisProcess());
+            .filter(entry -> !entry.serving()).forEach(entry -> drained.add(entry.id())), EventLog.shared());
     private final List<Connection> connections = IntStream.range(0, ListLease.MOST_CHECKS)
             .mapToObj(i -> new Connection()).toList();
     private final List<String> asked = new ArrayList<>();
--- a/src/test/java/starlingvalve/net/MessageRulesTest.java
+++ b/src/test/java/starlingvalve/net/MessageRulesTest.java
@@ -21,7 +21,7 @@
 
     private long nowMs;
     private final MessageRules rules = new MessageRules(() -> nowMs,
-            name -> Optional.ofNullable(CLASSES.get(name)), EventLog.ofThisProcess());
+            name -> Optional.ofNullable(CLASSES.get(name)), EventLog.shared());
 
     /** A message with one attempt that may have run, and one that is about to be sent. */
     private static AcceptedMessage repeated(String messageClass) {
--- a/src/test/java/starlingvalve/net/OperatorServerTest.java
+++ b/src/test/java/starlingvalve/net/OperatorServerTest.java
@@ -21,25 +21,25 @@
     private final OperatorServer ops =
             new OperatorServer(new DefaultEventLoop(), new OperatorServer.OperatorCommands() {
         @Override
-        public boolean serves() {
+        public boolean isServing() {
             return orders.isEmpty();
         }
 
         @Override
-        public String figures() {
+        public String statsText() {
             return "svc.in_flight:0|g\n";
         }
 
         @Override
-        public void maintain(String endpoint, boolean out, Consumer<OperatorServer.Answer> then) {
+        public void setMaintenance(String endpoint, boolean out, Consumer<OperatorServer.Answer> then) {
             orders.add((out ? "out " : "back ") + endpoint);
-            then.accept(OperatorServer.Answer.YES);
+            then.accept(OperatorServer.Answer.SUCCESS);
         }
 
         @Override
         public void drain(boolean on, Consumer<OperatorServer.Answer> then) {
             orders.add("drain " + on);
-            then.accept(OperatorServer.Answer.YES);
+            then.accept(OperatorServer.Answer.SUCCESS);
         }
     });
 
@@ -98,7 +98,7 @@
         half.advanceTimeBy(200, TimeUnit.MILLISECONDS);
         half.runPendingTasks();
         assertFalse(half.isOpen());
-        for (int i = 0; i < OperatorServer.MOST_CONNECTIONS; i++) {
+        for (int i = 0; i < OperatorServer.MAX_CONNECTIONS; i++) {
             assertTrue(silent.isOpen());
             caller();
         }
