--- a/src/test/java/starlingvalve/net/ConfigTest.java
+++ b/src/test/java/starlingvalve/net/ConfigTest.java
@@ -24,9 +24,9 @@
 import starlingvalve.DeliveryPolicy;
 import starlingvalve.InvalidInputException;
 
-/** Configurations that nobody meant: each is taken for what it says, or ends the start with a plain line. */
+/** Tests invalid and unusual configurations: each is either accepted or rejected with a clear error message. */
 class ConfigTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":3},
              "known":{"generation":1,"instances":[{"instanceId":"s","hostPort":"127.0.0.1:2"}]},
@@ -37,7 +37,7 @@
                "keepalive_ms":15000},
               "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}""";
 
-    private static final DeliveryPolicy.Actions NOBODY = (DeliveryPolicy.Actions) Proxy.newProxyInstance(
+    private static final DeliveryPolicy.Actions NO_ACTIONS = (DeliveryPolicy.Actions) Proxy.newProxyInstance(
             DeliveryPolicy.class.getClassLoader(), new Class<?>[] {DeliveryPolicy.Actions.class},
             (proxy, method, arguments) -> null);
 
@@ -45,83 +45,85 @@
     @TempDir
     private Path folder;
 
+    /** Writes the configuration file and returns the environment that names it. */
     private Map<String, String> env(String text) throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, text);
         return new HashMap<>(Map.of("GW_CONFIG", file.toString(), "GW_STATE", folder.toString()));
     }
 
-    /** All places of a tree, as pointers. */
-    private static void places(String at, JsonNode node, List<String> all) {
-        if (!at.isEmpty()) {
-            all.add(at);
+    /** Adds the JSON pointers of all nodes below a node to {@code pointers}. */
+    private static void collectPointers(String pointer, JsonNode node, List<String> pointers) {
+        if (!pointer.isEmpty()) {
+            pointers.add(pointer);
         }
         if (node.isObject()) {
-            node.properties().forEach(e -> places(at + "/" + e.getKey(), e.getValue(), all));
+            node.properties().forEach(e -> collectPointers(pointer + "/" + e.getKey(), e.getValue(), pointers));
         }
         for (int i = 0; node.isArray() && i < node.size(); i++) {
-            places(at + "/" + i, node.get(i), all);
+            collectPointers(pointer + "/" + i, node.get(i), pointers);
         }
     }
 
-    private static void put(JsonNode whole, String at, JsonNode value) {
-        int cut = at.lastIndexOf('/');
-        JsonNode parent = whole.at(at.substring(0, cut));
+    /** Replaces the node at a pointer, or removes it if {@code value} is a missing node. */
+    private static void put(JsonNode tree, String pointer, JsonNode value) {
+        int slash = pointer.lastIndexOf('/');
+        JsonNode parent = tree.at(pointer.substring(0, slash));
         if (parent instanceof ObjectNode object && value.isMissingNode()) {
-            object.remove(at.substring(cut + 1));
+            object.remove(pointer.substring(slash + 1));
         } else if (parent instanceof ObjectNode object) {
-            object.set(at.substring(cut + 1), value);
+            object.set(pointer.substring(slash + 1), value);
         } else if (!value.isMissingNode()) {
-            ((ArrayNode) parent).set(Integer.parseInt(at.substring(cut + 1)), value);
+            ((ArrayNode) parent).set(Integer.parseInt(pointer.substring(slash + 1)), value);
         }
     }
 
     @Test
-    void anyValueOutOfPlaceIsReadOrNamedAndNeverAFault() throws Exception {
-        List<String> all = new ArrayList<>();
-        places("", json.readTree(GOOD), all);
-        assertTrue(all.size() > 40, "places: " + all.size());
-        List<JsonNode> odd = new ArrayList<>();
-        odd.add(json.missingNode());
+    void anyReplacedValueIsAcceptedOrRejectedWithAMessage() throws Exception {
+        List<String> pointers = new ArrayList<>();
+        collectPointers("", json.readTree(VALID), pointers);
+        assertTrue(pointers.size() > 40, "pointers: " + pointers.size());
+        List<JsonNode> replacements = new ArrayList<>();
+        replacements.add(json.missingNode());
         for (String value : List.of("null", "\"x\"", "\"\"", "-1", "0", "1e300", "\"NaN\"", "[]", "{}", "[[]]",
                 "true")) {
-            odd.add(json.readTree(value));
+            replacements.add(json.readTree(value));
         }
-        int named = 0;
-        for (String at : all) {
-            for (JsonNode value : odd) {
-                JsonNode tree = json.readTree(GOOD);
-                put(tree, at, value);
+        int rejected = 0;
+        for (String pointer : pointers) {
+            for (JsonNode value : replacements) {
+                JsonNode tree = json.readTree(VALID);
+                put(tree, pointer, value);
                 try {
                     Config config = Config.read(env(tree.toString()));
-                    DeliveryPolicy.create(config.settings(), config.seed(), NOBODY);
+                    DeliveryPolicy.create(config.settings(), config.seed(), NO_ACTIONS);
                 } catch (InvalidInputException | IllegalArgumentException e) {
                     assertFalse(e.getMessage().isBlank());
-                    named++;
+                    rejected++;
                 }
             }
         }
-        assertTrue(named > 100, "turned away: " + named);
+        assertTrue(rejected > 100, "rejected: " + rejected);
     }
 
     @Test
-    void anUnreadableOrForeignConfigurationEndsTheStartWithOneLine() throws Exception {
+    void unreadableOrForeignConfigurationFailsTheStartWithOneLine() throws Exception {
         for (String text : List.of("", "{", "[]", "null", "no configuration\nat all\n", "{\"settings\":{}}", "\0\1\2",
-                "{\"a\":1}", GOOD.replace("\"workers\":10", "\"workers\":0"), GOOD.replace("keyed", "maybe"),
-                GOOD.replace("\"classes\":[{", "\"classes\":[7,{"))) {
-            PrintStream before = System.err;
+                "{\"a\":1}", VALID.replace("\"workers\":10", "\"workers\":0"), VALID.replace("keyed", "maybe"),
+                VALID.replace("\"classes\":[{", "\"classes\":[7,{"))) {
+            PrintStream previousErr = System.err;
             ByteArrayOutputStream lines = new ByteArrayOutputStream();
             System.setErr(new PrintStream(lines, true, StandardCharsets.UTF_8));
             int code;
             try {
                 code = Sender.serve(env(text));
             } finally {
-                System.setErr(before);
+                System.setErr(previousErr);
             }
-            String said = lines.toString(StandardCharsets.UTF_8);
+            String output = lines.toString(StandardCharsets.UTF_8);
             assertEquals(1, code, text);
-            assertEquals(1, said.lines().count(), said);
-            assertTrue(said.contains("can't start: "), said);
+            assertEquals(1, output.lines().count(), output);
+            assertTrue(output.contains("can't start: "), output);
         }
     }
 }
--- a/src/test/java/starlingvalve/net/EndedMessageProcessTest.java
+++ b/src/test/java/starlingvalve/net/EndedMessageProcessTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The incident of messages sent on after their end: an answer that tells the end of messages comes through a fault
- * proxy, late, when one of the messages of its call is not waited for any more.
+ * Guards against sending messages again after they have ended. This happened when an answer that ends the messages of a
+ * call came late, after the attempt of one of these messages had timed out and left the call. A fault proxy delays the
+ * answers here.
  */
 class EndedMessageProcessTest extends SenderProcessFixture {
     private final List<FaultProxy> proxies = new ArrayList<>();
@@ -34,14 +35,14 @@
     }
 
     /**
-     * Two messages travel in one call, which its endpoint accepts at once. The answer is held back until one of them,
-     * whose attempt has timed out, is not waited for any more.
+     * Sends two messages in one call, which its endpoint accepts at once. The answer is held back until the attempt of
+     * one of the messages has timed out, so that this message has left the call.
      */
-    private void oneLeavesBeforeTheAnswerForBoth(String effectOfTheOther) throws Exception {
+    private void answerBothAfterOneHasLeft(String effectOfTheOther) throws Exception {
         sender.start();
         proxies.forEach(FaultProxy::holdAnswers);
         handIn("opener", "unsafe");
-        StubServer.await("the only slot is taken", () -> callsWith("opener") == 1);
+        StubServer.await("the only worker is busy", () -> callsWith("opener") == 1);
         handIn("leaving", "hasty");
         handIn("waiting", effectOfTheOther);
         script((call, socket) -> {
@@ -49,7 +50,7 @@
             accept(call, socket);
         });
         proxies.forEach(FaultProxy::releaseAnswers);
-        StubServer.await("both travel in one call", () -> calls().stream()
+        StubServer.await("both are sent in one call", () -> calls().stream()
                 .anyMatch(call -> ids(call).equals(List.of("leaving", "waiting"))));
         sender.awaitEvent("attempt-ended", "id=leaving", "cause=TIMED_OUT", "messages=2", "left=1");
         script(SenderProcessFixture::accept);
@@ -59,28 +60,31 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"safe", "keyed", "unsafe"})
-    void whatAnAnswerAcceptsIsOverThoughAnotherMessageHasLeftItsCall(String effect) throws Exception {
-        oneLeavesBeforeTheAnswerForBoth(effect);
-        assertEquals(1, callsWith("waiting"), "sent on after its end");
+    void acceptedMessageEndsAlthoughAnotherMessageHasLeftItsCall(String effect) throws Exception {
+        answerBothAfterOneHasLeft(effect);
+        assertEquals(1, callsWith("waiting"), "sent again after its end");
         int served = Stream.of("hasty", "safe", "keyed", "unsafe").mapToInt(name -> figure("served." + name)).sum();
         assertEquals(3, served, "both count as delivered, as the opener does");
-        confirmationsAreHeard();
+        assertBothConfirmedOnce();
     }
 
     @Test
-    void whatAnAnswerAcceptsIsOverThoughItHasLeftItsCallItself() throws Exception {
-        oneLeavesBeforeTheAnswerForBoth("safe");
-        assertEquals(1, callsWith("leaving"), "sent on after its end");
-        confirmationsAreHeard();
+    void acceptedMessageEndsAlthoughItHasLeftItsCallItself() throws Exception {
+        answerBothAfterOneHasLeft("safe");
+        assertEquals(1, callsWith("leaving"), "sent again after its end");
+        assertBothConfirmedOnce();
     }
 
-    /** One for each message of the call, in any order: such an answer does not count at the platform in all cases. */
-    private void confirmationsAreHeard() throws Exception {
+    /**
+     * Checks that there is one confirming notice per message of the call, in any order: the platform doesn't count
+     * every answer to a call that a message had left.
+     */
+    private void assertBothConfirmedOnce() throws Exception {
         StubServer.await("both are confirmed", () -> agent.notices.size() >= 2);
         handIn("last", "safe");
         awaitAllEnded();
         assertEquals(Set.of("{\"ref\":\"leaving\",\"result\":\"dead\"}", "{\"ref\":\"waiting\",\"result\":\"dead\"}"),
                 Set.copyOf(agent.notices));
-        assertEquals(2, agent.notices.size(), "each once");
+        assertEquals(2, agent.notices.size(), "one notice for each message");
     }
 }
--- a/src/test/java/starlingvalve/net/EventLogProcessTest.java
+++ b/src/test/java/starlingvalve/net/EventLogProcessTest.java
@@ -7,10 +7,10 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** What the log of the running program tells of single messages and connections. */
+/** Tests which events of messages and connections a running sender process logs. */
 class EventLogProcessTest extends SenderProcessFixture {
     @Test
-    void aMessageIsFollowedThroughAttemptsRetriesAndItsEnd() throws Exception {
+    void attemptsRetriesAndEndOfAMessageAreLogged() throws Exception {
         sender.start();
         handIn("plain", "safe");
         awaitAllEnded();
@@ -22,21 +22,22 @@
         sender.awaitEvent("retry", "id=broken", "attempt=1");
         script(StubServer.status(410, ""));
         sender.awaitEvent("attempt-ended", "id=broken", "cause=ANSWER", "status=410", "over=true");
-        assertFalse(sender.log().contains("id=plain"), "an ordinary delivery leaves no line");
+        assertFalse(sender.log().contains("id=plain"), "a message delivered by its first attempt has no line");
     }
 
     @Test
-    void aRefusalAtTheDoorTellsItsReason() throws Exception {
+    void rejectionAtAdmissionIsLoggedWithItsReason() throws Exception {
         sender.start();
         String request = TestConfig.message("astray", "safe", "x");
-        assertEquals("HTTP/1.1 503 Service Unavailable", ask(sender.address(), request.replace("dest=7", "dest=8")).line());
+        assertEquals("HTTP/1.1 503 Service Unavailable",
+                ask(sender.address(), request.replace("dest=7", "dest=8")).line());
         sender.awaitEvent("refused", "id=astray", "class=safe", "dest=8", "wait_ms=0");
         assertEquals("HTTP/1.1 400 Bad Request", ask(sender.address(), request.replace("dest=7", "nothing")).line());
         sender.awaitEvent("request-rejected", "status=400", "reason=\"X-Envelope");
     }
 
     @Test
-    void aClientThatIsClosedForItsSilenceIsToldOf() throws Exception {
+    void closingASilentClientIsLogged() throws Exception {
         sender.start();
         try (Socket silent = new Socket(sender.address().getAddress(), sender.address().getPort())) {
             StubServer.write(silent, "POST /safe HTTP/1.1\r\n");
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void aNoticeIsToldWhenItIsOwedAndWhenItIsHeard() throws Exception {
+    void owedAndAcknowledgedNoticesAreLogged() throws Exception {
         sender.start();
         script(StubServer.status(500, ""));
         handIn("failed", "unsafe");
@@ -54,9 +55,9 @@
         sender.awaitEvent("notice-heard", "id=failed");
     }
 
-    /** The journal of the warm-up has to hold messages with as many tries as the settings allow. */
+    /** The journal of the warm-up must be able to store messages with as many attempts as the settings allow. */
     @Test
-    void aSenderWhoseMessagesMayHaveManyTriesWarmsUp() throws Exception {
+    void warmUpSucceedsWithAHighLimitOnAttempts() throws Exception {
         sender.start();
         assertFalse(sender.log().contains("no warm-up"), sender.log());
     }
--- a/src/test/java/starlingvalve/net/OperatorServerTest.java
+++ b/src/test/java/starlingvalve/net/OperatorServerTest.java
@@ -15,14 +15,14 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The operators' listener by itself, on a clock that the test moves. */
+/** Tests the operators' HTTP server alone, on a simulated clock. */
 class OperatorServerTest {
-    private final List<String> orders = new ArrayList<>();
-    private final OperatorServer ops =
+    private final List<String> commands = new ArrayList<>();
+    private final OperatorServer server =
             new OperatorServer(new DefaultEventLoop(), new OperatorServer.OperatorCommands() {
         @Override
         public boolean isServing() {
-            return orders.isEmpty();
+            return commands.isEmpty();
         }
 
         @Override
@@ -31,78 +31,80 @@
         }
 
         @Override
-        public void setMaintenance(String endpoint, boolean out, Consumer<OperatorServer.Answer> then) {
-            orders.add((out ? "out " : "back ") + endpoint);
-            then.accept(OperatorServer.Answer.SUCCESS);
+        public void setMaintenance(String endpoint, boolean inMaintenance, Consumer<OperatorServer.Answer> callback) {
+            commands.add((inMaintenance ? "out " : "back ") + endpoint);
+            callback.accept(OperatorServer.Answer.SUCCESS);
         }
 
         @Override
-        public void drain(boolean on, Consumer<OperatorServer.Answer> then) {
-            orders.add("drain " + on);
-            then.accept(OperatorServer.Answer.SUCCESS);
+        public void drain(boolean on, Consumer<OperatorServer.Answer> callback) {
+            commands.add("drain " + on);
+            callback.accept(OperatorServer.Answer.SUCCESS);
         }
     });
 
-    private EmbeddedChannel caller() {
-        EmbeddedChannel caller = new EmbeddedChannel();
-        caller.freezeTime();
-        caller.pipeline().addLast(ops.pipeline());
-        caller.pipeline().fireChannelActive();
-        return caller;
+    /** Opens a client's connection. */
+    private EmbeddedChannel connect() {
+        EmbeddedChannel client = new EmbeddedChannel();
+        client.freezeTime();
+        client.pipeline().addLast(server.pipeline());
+        client.pipeline().fireChannelActive();
+        return client;
     }
 
-    private static void send(EmbeddedChannel caller, String text) {
-        caller.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
+    private static void send(EmbeddedChannel client, String text) {
+        client.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1));
     }
 
-    private String call(String line) {
-        EmbeddedChannel caller = caller();
-        send(caller, line + " HTTP/1.1\r\nHost: x\r\n\r\n");
+    /** Sends a request and returns the status code of its answer. */
+    private String request(String line) {
+        EmbeddedChannel client = connect();
+        send(client, line + " HTTP/1.1\r\nHost: x\r\n\r\n");
         StringBuilder answer = new StringBuilder();
-        for (ByteBuf part = caller.readOutbound(); part != null; part = caller.readOutbound()) {
+        for (ByteBuf part = client.readOutbound(); part != null; part = client.readOutbound()) {
             answer.append(part.toString(StandardCharsets.ISO_8859_1));
             part.release();
         }
-        assertFalse(caller.isOpen(), "one call a connection");
+        assertFalse(client.isOpen(), "one request per connection");
         return answer.substring("HTTP/1.1 ".length(), "HTTP/1.1 200".length());
     }
 
     @Test
-    void eachCallIsKnownByItsPathAndMethod() {
-        assertEquals("200", call("GET /healthcheck"));
-        assertEquals("200", call("GET /stats"));
-        assertEquals("200", call("POST /endpoints/s-1/maint"));
-        assertEquals("503", call("GET /healthcheck"));
-        assertEquals("200", call("POST /endpoints/s%2D1/ready"));
-        assertEquals("200", call("POST /healthcheck/fail"));
-        assertEquals("200", call("POST /healthcheck/ok"));
-        assertEquals("404", call("GET /"));
-        assertEquals("404", call("POST /endpoints/s-1/away"));
-        assertEquals("404", call("POST /endpoints//maint"));
-        assertEquals("405", call("GET /endpoints/s-1/maint"));
-        assertEquals("405", call("POST /stats"));
-        assertEquals("405", call("GET /healthcheck/fail"));
-        assertEquals("400", call("POST /endpoints/%zz/maint"));
-        assertEquals(List.of("out s-1", "back s-1", "drain true", "drain false"), orders);
+    void pathAndMethodSelectTheCommand() {
+        assertEquals("200", request("GET /healthcheck"));
+        assertEquals("200", request("GET /stats"));
+        assertEquals("200", request("POST /endpoints/s-1/maint"));
+        assertEquals("503", request("GET /healthcheck"));
+        assertEquals("200", request("POST /endpoints/s%2D1/ready"));
+        assertEquals("200", request("POST /healthcheck/fail"));
+        assertEquals("200", request("POST /healthcheck/ok"));
+        assertEquals("404", request("GET /"));
+        assertEquals("404", request("POST /endpoints/s-1/away"));
+        assertEquals("404", request("POST /endpoints//maint"));
+        assertEquals("405", request("GET /endpoints/s-1/maint"));
+        assertEquals("405", request("POST /stats"));
+        assertEquals("405", request("GET /healthcheck/fail"));
+        assertEquals("400", request("POST /endpoints/%zz/maint"));
+        assertEquals(List.of("out s-1", "back s-1", "drain true", "drain false"), commands);
     }
 
     @Test
-    void aCallerThatFinishesNoCallIsEndedInTimeAndHoldsUpNoOther() {
-        EmbeddedChannel half = caller();
-        send(half, "POST /healthcheck/fail HTTP/1.1\r\nHos");
-        EmbeddedChannel silent = caller();
-        half.advanceTimeBy(2400, TimeUnit.MILLISECONDS);
-        half.runPendingTasks();
-        assertTrue(half.isOpen());
-        assertEquals("200", call("GET /stats"));
-        half.advanceTimeBy(200, TimeUnit.MILLISECONDS);
-        half.runPendingTasks();
-        assertFalse(half.isOpen());
+    void incompleteRequestTimesOutWithoutDelayingOthers() {
+        EmbeddedChannel incomplete = connect();
+        send(incomplete, "POST /healthcheck/fail HTTP/1.1\r\nHos");
+        EmbeddedChannel silent = connect();
+        incomplete.advanceTimeBy(2400, TimeUnit.MILLISECONDS);
+        incomplete.runPendingTasks();
+        assertTrue(incomplete.isOpen());
+        assertEquals("200", request("GET /stats"));
+        incomplete.advanceTimeBy(200, TimeUnit.MILLISECONDS);
+        incomplete.runPendingTasks();
+        assertFalse(incomplete.isOpen());
         for (int i = 0; i < OperatorServer.MAX_CONNECTIONS; i++) {
             assertTrue(silent.isOpen());
-            caller();
+            connect();
         }
-        assertFalse(silent.isOpen(), "the oldest makes room");
-        assertEquals(List.of(), orders);
+        assertFalse(silent.isOpen(), "the oldest connection is closed");
+        assertEquals(List.of(), commands);
     }
 }
--- a/src/test/java/starlingvalve/net/ReadinessTest.java
+++ b/src/test/java/starlingvalve/net/ReadinessTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a sender that starts again waits for before it is ready, and what it does not wait for. */
+/** Tests what a starting sender waits for before it reports that it is ready, and what it doesn't wait for. */
 class ReadinessTest {
     private static final double DISK_MB = 8;
     private static final int MESSAGES = 500;
@@ -52,7 +52,8 @@
         return new TestConfig(discovery.agent.hostPort()).diskMb(DISK_MB);
     }
 
-    private TestConfig knowing() {
+    /** The settings of a sender that knows an endpoint list at its start. */
+    private TestConfig settingsWithKnownList() {
         return settings().known(TestConfig.list(discovery.endpoint));
     }
 
@@ -77,8 +78,8 @@
         }
     }
 
-    /** As an earlier life would have left it. */
-    private void leaveJournal() throws IOException {
+    /** Writes a journal with accepted messages, as a previous process run would have left it. */
+    private void writeJournal() throws IOException {
         try (Journal journal = new Journal(folder.resolve("state"), (long) (DISK_MB * 1_000_000), 12)) {
             for (int i = 0; i < MESSAGES; i++) {
                 journal.taken(new AcceptedMessage(journal.nextNumber(), "old" + i, "order", "acme",
@@ -89,43 +90,43 @@
     }
 
     @Test
-    void withAKnownListItIsReadyWhileDiscoveryIsSilent() throws Exception {
-        start(knowing());
+    void isReadyWithAKnownListWhileDiscoveryIsSilent() throws Exception {
+        start(settingsWithKnownList());
         assertEquals("200", health());
         assertEquals("202", ask(TestConfig.message("one", "hello")));
-        StubServer.await("it is delivered", () -> discovery.endpoint.requests.size() == 1);
+        StubServer.await("the message is delivered", () -> discovery.endpoint.requests.size() == 1);
         assertEquals(0, discovery.answers.get());
     }
 
     @Test
-    void withAKnownListItIsReadyWhileDiscoveryRefusesConnections() throws Exception {
-        int nobody;
+    void isReadyWithAKnownListWhileDiscoveryRefusesConnections() throws Exception {
+        int closedPort;
         try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            nobody = closed.getLocalPort();
+            closedPort = closed.getLocalPort();
         }
-        start(new TestConfig("127.0.0.1:" + nobody).known(TestConfig.list(discovery.endpoint)));
+        start(new TestConfig("127.0.0.1:" + closedPort).known(TestConfig.list(discovery.endpoint)));
         assertEquals("200", health());
     }
 
     @Test
-    void aLargeJournalIsReadBeforeClientsComeAndDoesNotWaitForDiscovery() throws Exception {
-        leaveJournal();
-        start(knowing());
-        assertEquals("200", health(), "the first client that gets through finds it ready");
+    void largeJournalIsReadBeforeClientsConnectWithoutWaitingForDiscovery() throws Exception {
+        writeJournal();
+        start(settingsWithKnownList());
+        assertEquals("200", health(), "it is ready when the first client can connect");
         assertEquals(0, discovery.answers.get());
-        StubServer.await("it goes on with what it held", () -> !discovery.endpoint.requests.isEmpty());
+        StubServer.await("recovered messages are sent", () -> !discovery.endpoint.requests.isEmpty());
     }
 
-    /** Without a list nothing can be delivered, but clients are told so rather than refused. */
+    /** Without an endpoint list nothing can be delivered, but clients get an answer, not a refused connection. */
     @Test
-    void withoutAListItServesAtOnceAndIsReadyWithDiscoverysFirstAnswer() throws Exception {
-        leaveJournal();
+    void withoutAListItAnswersClientsAndIsReadyAfterDiscoverysFirstAnswer() throws Exception {
+        writeJournal();
         start(settings());
         assertEquals("503", health());
         assertEquals("503", ask(TestConfig.message("one", "hello")));
         StubServer.await("discovery is asked", () -> !discovery.agent.requests.isEmpty());
         discovery.up = true;
-        StubServer.await("it is ready", () -> {
+        StubServer.await("the sender is ready", () -> {
             try {
                 return health().equals("200");
             } catch (IOException e) {
@@ -133,12 +134,12 @@
             }
         });
         assertEquals(1, discovery.answers.get(), "one answer is enough");
-        StubServer.await("it goes on with what it held", () -> !discovery.endpoint.requests.isEmpty());
+        StubServer.await("recovered messages are sent", () -> !discovery.endpoint.requests.isEmpty());
     }
 
-    /** Another process owns the journal until the list has been read. */
+    /** Another process owns the journal until the sender has received the list. */
     @Test
-    void anEmptyListThatComesBeforeTheJournalIsOwnedIsAListToo() throws Exception {
+    void emptyListReceivedBeforeTheJournalIsOwnedMakesTheSenderReady() throws Exception {
         discovery.up = true;
         discovery.listIsEmpty = true;
         CompletableFuture<Void> started;
@@ -151,17 +152,17 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            StubServer.await("a watch follows the list", () -> discovery.agent.requests.size() == 2);
+            StubServer.await("a watch request follows the list", () -> discovery.agent.requests.size() == 2);
         }
         started.get(30, TimeUnit.SECONDS);
         assertEquals("200", health());
-        assertEquals("503", ask(TestConfig.message("one", "hello")), "nobody is listed who could take it");
+        assertEquals("503", ask(TestConfig.message("one", "hello")), "no endpoint is listed for the message");
     }
 
     @Test
-    void anEmptyFolderDelaysItByTheWarmUpsTimeAtMost() throws Exception {
-        Config config = read(knowing());
-        assertEquals(0, Warmup.run(config, new DefaultEventLoop(), 0), "no step is begun without time for it");
+    void withoutAJournalTheStartIsDelayedAtMostByTheWarmUpLimit() throws Exception {
+        Config config = read(settingsWithKnownList());
+        assertEquals(0, Warmup.run(config, new DefaultEventLoop(), 0), "no step is started without time for it");
         assertTrue(Warmup.run(config, new DefaultEventLoop(), Sender.SHUTDOWN_LIMIT_MS) > 0);
     }
 }
--- a/src/test/java/starlingvalve/net/TestConfig.java
+++ b/src/test/java/starlingvalve/net/TestConfig.java
@@ -8,9 +8,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** The configuration of a sender, for tests that choose its limits, its classes and its list. */
+/** Builds a sender's configuration, for tests that choose its limits, message classes and known endpoint list. */
 final class TestConfig {
-    /** The destination of messages and endpoints where a test names no other. */
+    /** Default destination of messages and endpoints. */
     static final int DESTINATION = 7;
     private static final String NO_LIST = "null";
     private static final String KEYED_CLASS =
@@ -25,55 +25,59 @@
     private int batch = 1;
     private boolean secondCopies;
 
+    /** Starts with defaults and the address of discovery's agent. */
     TestConfig(String discovery) {
         this.discovery = discovery;
     }
 
+    /** Limit on the process's file descriptors. */
     TestConfig sockets(int limit) {
         sockets = limit;
         return this;
     }
 
+    /** Size limit of the journal. */
     TestConfig diskMb(double limit) {
         diskMb = limit;
         return this;
     }
 
+    /** The endpoint list that the sender knows at its start, as JSON; none by default. */
     TestConfig known(String list) {
         known = list;
         return this;
     }
 
-    /** The classes of message, as JSON objects with commas between them. */
+    /** The message classes, as comma-separated JSON objects. */
     TestConfig classes(String json) {
         classes = json;
         return this;
     }
 
-    /** So many calls may be out at once. */
+    /** Largest number of calls in flight. */
     TestConfig workers(int limit) {
         workers = limit;
         return this;
     }
 
-    /** One call may carry so many messages. */
+    /** Largest number of messages in one call. */
     TestConfig batch(int messages) {
         batch = messages;
         return this;
     }
 
-    /** A copy may join an attempt that is out. */
+    /** Whether a hedge may be sent for an attempt in flight. */
     TestConfig secondCopies(boolean allowed) {
         secondCopies = allowed;
         return this;
     }
 
-    /** A list of one endpoint, as discovery would answer it. */
+    /** An endpoint list with one endpoint, as discovery would answer it. */
     static String list(StubServer endpoint) {
         return list(List.of(endpoint.hostPort()));
     }
 
-    /** A list of the endpoints of one destination, named {@code s-0} and so on, at these addresses. */
+    /** A list of endpoints of one destination with these addresses; their ids are {@code s-0}, {@code s-1} etc. */
     static String list(List<String> addresses) {
         String entries = IntStream.range(0, addresses.size()).mapToObj(i -> """
                 {"instanceId":"s-%d","hostPort":"%s","zone":"a",
@@ -82,12 +86,12 @@
         return "{\"generation\":1,\"reset\":true,\"instances\":[" + entries + "]}\n";
     }
 
-    /** A request that hands in a message for the endpoint of the list. */
+    /** A request that submits a message of class {@code order} for the default destination. */
     static String message(String id, String body) {
         return message(id, "order", body);
     }
 
-    /** The same in a class. */
+    /** A request that submits a message of the given class for the default destination. */
     static String message(String id, String messageClass, String body) {
         return "POST /" + messageClass + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Call-Class: "
                 + messageClass + "\r\n"
@@ -95,6 +99,7 @@
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
+    /** Writes the configuration file to the folder and returns its path. */
     Path write(Path folder) throws IOException {
         return Files.writeString(folder.resolve("config.json"), """
                 {"name":"n0","listen":"127.0.0.1:0","ops":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -108,17 +113,17 @@
                 """.formatted(discovery, sockets, diskMb, known, classes, workers, batch, secondCopies));
     }
 
-    /** Answers a request for the whole list with the one endpoint. */
+    /** Answers a request for the full endpoint list with a list of one endpoint. */
     static void answerList(Socket socket, StubServer endpoint) throws IOException {
         answer(socket, list(endpoint));
     }
 
-    /** Answers with a body. */
+    /** Writes an HTTP answer with this body. */
     static void answer(Socket socket, String body) throws IOException {
         StubServer.write(socket, answer(body));
     }
 
-    /** An answer with a body. */
+    /** An HTTP answer with this body. */
     static String answer(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
