--- a/src/main/java/starlingvalve/net/Config.java
+++ b/src/main/java/starlingvalve/net/Config.java
@@ -22,7 +22,7 @@
  *
  * @param name name of the sender in its log
  * @param listen address at which clients submit messages
- * @param ops address of the operators' HTTP server; none is started if it is empty
+ * @param ops address of the operators' HTTP server, which doesn't listen if this is empty
  * @param discovery address of discovery's agent
  * @param listLease rules for the time for which the endpoint list may be used
  * @param state folder of the journal
--- a/src/main/java/starlingvalve/net/ConfigReload.java
+++ b/src/main/java/starlingvalve/net/ConfigReload.java
@@ -20,7 +20,7 @@
 
     /**
      * Reads discovery's address from the new configuration. A file that is just being replaced may be incomplete or
-     * missing: it is read again for a while, and for a minute if the system refuses to open it.
+     * missing: it is read again for about 2 s if its content is invalid, and for a minute if it can't be opened.
      *
      * @throws InvalidInputException if the last read still finds no valid address
      * @throws IOException if the last attempt to read the file fails too
