--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -59,7 +59,7 @@
     /** The lease on the list, if any; an answer with the full list renews it. */
     private final Optional<ListLease> lease;
     private final LongSupplier nanoClock;
-    private final EventLog events = EventLog.ofThisProcess();
+    private final EventLog events = EventLog.shared();
     /** The last request had no usable answer. */
     private boolean silent;
     /** The time at which the last request was sent. */
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -37,7 +37,7 @@
     private final EventLoop loop;
     private final AgentConnection agent;
     private final Consumer<AcceptedMessage> acknowledged;
-    private final EventLog events = EventLog.ofThisProcess();
+    private final EventLog events = EventLog.shared();
     private final ObjectMapper json = JsonMapper.builder().build();
     /** Messages whose notices are not acknowledged yet, oldest first. */
     private final Deque<AcceptedMessage> owed = new ArrayDeque<>();
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -45,7 +45,7 @@
     /** Creates a watch over a connection to the agent, without a lease on the list. */
     private Discovery discovery(StubServer agent, Random random, EndpointList.Listener listener) {
         return new Discovery(loop, new AgentConnection(loop, agent.address()), random,
-                new EndpointList(listener, EventLog.ofThisProcess()), Optional.empty(), System::nanoTime);
+                new EndpointList(listener, EventLog.shared()), Optional.empty(), System::nanoTime);
     }
 
     private static FullHttpRequest request() {
--- a/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
@@ -98,7 +98,7 @@
                 if (receivedMs < 0 && entries.get(0).id().equals("after")) {
                     receivedMs = nowMs;
                 }
-            }, EventLog.ofThisProcess());
+            }, EventLog.shared());
             discovery = new Discovery(loop.eventLoop(), this, random, list, Optional.empty(),
                     () -> TimeUnit.MILLISECONDS.toNanos(nowMs));
         }
--- a/src/test/java/starlingvalve/net/DiscoveryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryTest.java
@@ -94,7 +94,7 @@
                 throw new IllegalStateException("a fault made by the listener");
             }
             entries.forEach(e -> received.add((e.gone() ? "gone " : "") + e.id()));
-        }, EventLog.ofThisProcess());
+        }, EventLog.shared());
         return new Discovery(loop.eventLoop(), agent, new Random(seed), list, Optional.empty(),
                 () -> TimeUnit.MILLISECONDS.toNanos(nowMs));
     }
