--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -1371,7 +1371,7 @@
                         line.path("on").asBoolean(), answer -> replyTo(line, answer));
                 case "drain" -> new OperatorCallbacks().drain(line.path("on").asBoolean(),
                         answer -> replyTo(line, answer));
-                default -> Log.line("the predecessor sent a line of unknown kind: " + line.path("do"));
+                default -> Log.line("the old process reports what this one does not know: " + line.path("do"));
             }
         }
 
