--- a/src/test/java/starlingvalve/net/CombinedSoakTest.java
+++ b/src/test/java/starlingvalve/net/CombinedSoakTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * All faults together, overlapping, on several real senders that share their endpoints: kills, planned restarts, upgrades,
- * reloads, a process that is held up; system calls and disks that fail for a moment; stepped clocks; agents that are silent;
- * answers that bring more than belongs to them; endpoints that refuse, fail, hang, are slow, drain and are replaced. Some senders are busy and some nearly idle, some
- * clients keep their connections until the process ends them and some do not. One checker judges by what clients, endpoints and
- * agents saw.
+ * Runs several real senders that share their endpoints under all faults together, which overlap: kills, planned
+ * restarts, upgrades, reloads, suspended processes; system calls and disks that fail for a moment; stepped clocks;
+ * agents that do not answer; answers with surplus bytes; endpoints that refuse, fail, hang, are slow, drain and are
+ * replaced. Some senders are busy and some nearly idle; some clients keep their connections until the sender closes them
+ * and some do not. The rules are checked by what clients, endpoints and agents observed.
  *
- * <p>{@code -Dcombined.first=1 -Dcombined.seeds=50 -Dcombined.seconds=20 -Dcombined.logs=FOLDER} plays more and keeps the
- * processes' logs; the default is short.
+ * <p>{@code -Dcombined.first=1 -Dcombined.seeds=50 -Dcombined.seconds=20 -Dcombined.logs=FOLDER} runs more seeds for
+ * longer and keeps the processes' logs; the default is short.
  */
 class CombinedSoakTest {
     private static final long FIRST_SEED = Long.getLong("combined.first", 1);
@@ -40,15 +40,15 @@
     private static final Optional<Path> LOGS = Optional.ofNullable(System.getProperty("combined.logs")).map(Path::of);
 
     private static final int SERVERS = 4;
-    /** An answer that comes so shortly before the sender gives its call up may cross that. */
-    private static final long CROSSING_MS = 100;
-    private static final long REFUSAL_MS = 200;
-    private static final int MOST_SURPLUS_PERCENT = Integer.getInteger("combined.surplus", 20);
+    /** An answer that is written less than this before the sender gives up its call may arrive too late. */
+    private static final long CROSSING_MARGIN_MS = 100;
+    private static final long REFUSAL_DELAY_MS = 200;
+    private static final int MAX_SURPLUS_PERCENT = Integer.getInteger("combined.surplus", 20);
 
     @TempDir
     Path temporary;
     private final Map<String, SoakMessage> messages = new ConcurrentHashMap<>();
-    private final Map<SoakNode.Fault, Integer> met = new EnumMap<>(SoakNode.Fault.class);
+    private final Map<SoakNode.Fault, Integer> faultCounts = new EnumMap<>(SoakNode.Fault.class);
     private final List<SoakNode> nodes = new ArrayList<>();
     private final List<StubServer> endpoints = new ArrayList<>();
     private final List<String> serving = new ArrayList<>();
@@ -56,8 +56,8 @@
     private FaultyDestination destination;
     private SurplusWriter surplus;
     private int healthyPercent;
-    private int servers;
-    private volatile boolean over;
+    private int serverCount;
+    private volatile boolean stopped;
 
     static LongStream seeds() {
         return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
@@ -81,12 +81,12 @@
     // ---- endpoints ----
 
     private void addServer(Random random) throws IOException {
-        String name = "s-" + servers;
-        int number = servers % SERVERS;
-        Random mine = new Random(random.nextLong());
-        StubServer stub = new StubServer((call, socket) -> answer(name, number, mine, call, socket));
+        String name = "s-" + serverCount;
+        int number = serverCount % SERVERS;
+        Random serverRandom = new Random(random.nextLong());
+        StubServer stub = new StubServer((call, socket) -> answer(name, number, serverRandom, call, socket));
         endpoints.add(stub);
-        servers++;
+        serverCount++;
         serving.add(name);
         nodes.forEach(node -> node.agent().list(name, stub.hostPort(), DiscoveryAgent.SERVING));
         nodes.forEach(node -> node.agent().change(name, DiscoveryAgent.SERVING));
@@ -96,15 +96,15 @@
             Socket socket) throws Exception {
         List<String> ids = SenderProcessFixture.ids(call);
         SoakNode caller = nodes.get(Integer.parseInt(ids.get(0).split("-")[1]));
-        int calledIn = caller.life();
-        caller.drains().called(name, call.atNanos());
+        int processRunOfCall = caller.processRun();
+        caller.drainChecker().called(name, call.atNanos());
         FaultyDestination.Mode mode = destination.mode(number, healthyPercent);
         ids.forEach(id -> message(id).ifPresent(message -> message.called(call.atNanos(), mode + " " + name)));
-        ids.forEach(id -> caller.keyOrder().called(id, call.atNanos()));
+        ids.forEach(id -> caller.keyOrderChecker().called(id, call.atNanos()));
         switch (mode) {
-            case ACCEPTS -> accept(caller, calledIn, call, socket, draw(random, 20));
-            case SLOW -> accept(caller, calledIn, call, socket, 200 + draw(random, 800));
-            case REFUSES -> refuse(ids, socket, REFUSAL_MS, "503 x\r\n");
+            case ACCEPTS -> accept(caller, processRunOfCall, call, socket, draw(random, 20));
+            case SLOW -> accept(caller, processRunOfCall, call, socket, 200 + draw(random, 800));
+            case REFUSES -> refuse(ids, socket, REFUSAL_DELAY_MS, "503 x\r\n");
             case TELLS_WAIT -> refuse(ids, socket, 0, "429 x\r\nRetry-After: 0." + (1 + draw(random, 5)) + "\r\n");
             case FAILS -> surplus.write(socket, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
             case RESETS -> {
@@ -112,7 +112,7 @@
                 socket.close();
             }
             default -> {
-                // It hangs.
+                // HANGS: no answer.
             }
         }
     }
@@ -125,33 +125,33 @@
 
     private void refuse(List<String> ids, Socket socket, long delayMs, String statusAndHeaders) throws Exception {
         TimeUnit.MILLISECONDS.sleep(delayMs);
-        ids.forEach(id -> message(id).ifPresent(SoakMessage::neverRan));
+        ids.forEach(id -> message(id).ifPresent(SoakMessage::notExecuted));
         surplus.write(socket, "HTTP/1.1 " + statusAndHeaders + "Content-Length: 0\r\n\r\n");
     }
 
-    private void accept(SoakNode caller, int calledIn, StubServer.Message call, Socket socket,
+    private void accept(SoakNode caller, int processRunOfCall, StubServer.Message call, Socket socket,
             long delayMs) throws Exception {
         TimeUnit.MILLISECONDS.sleep(delayMs);
-        SenderProcessFixture.ids(call).forEach(id -> caller.keyOrder().over(id, System.nanoTime()));
+        SenderProcessFixture.ids(call).forEach(id -> caller.keyOrderChecker().ended(id, System.nanoTime()));
         surplus.write(socket, SenderProcessFixture.acceptance(call));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - call.atNanos());
-        boolean awaited = calledIn == caller.life() && caller.reads()
-                && tookMs + CROSSING_MS < Long.parseLong(call.header("X-Budget-Ms"));
-        SenderProcessFixture.ids(call).forEach(id -> message(id).ifPresent(message -> message.accepted(awaited)));
+        boolean awaited = processRunOfCall == caller.processRun() && caller.stillReadsAnswers()
+                && tookMs + CROSSING_MARGIN_MS < Long.parseLong(call.header("X-Budget-Ms"));
+        SenderProcessFixture.ids(call).forEach(id -> message(id).ifPresent(message -> message.delivered(awaited)));
     }
 
-    /** A new server takes the place of the oldest one, which drains. */
+    /** Lists a new server in place of the oldest one, which drains. */
     private void replaceOne(Random random) throws IOException {
         addServer(random);
-        String old = serving.remove(0);
+        String oldServer = serving.remove(0);
         for (SoakNode node : nodes) {
-            node.withdraw(old);
+            node.withdraw(oldServer);
         }
     }
 
     private void keepReplacing(Random random) {
         try {
-            while (!over) {
+            while (!stopped) {
                 TimeUnit.MILLISECONDS.sleep(500 + random.nextInt(3000));
                 replaceOne(random);
             }
@@ -160,17 +160,18 @@
         }
     }
 
-    // ---- the play ----
+    // ---- the run ----
 
     private void deploy(long seed, Random random) throws Exception {
         Path folder = LOGS.map(logs -> logs.resolve("seed-" + seed)).orElse(temporary);
         healthyPercent = 30 + random.nextInt(60);
-        destination = new FaultyDestination(TestConfig.DESTINATION, SERVERS, new Random(random.nextLong()), () -> over);
-        surplus = new SurplusWriter(new Random(random.nextLong()), random.nextInt(MOST_SURPLUS_PERCENT));
+        destination = new FaultyDestination(TestConfig.DESTINATION, SERVERS, new Random(random.nextLong()),
+                () -> stopped);
+        surplus = new SurplusWriter(new Random(random.nextLong()), random.nextInt(MAX_SURPLUS_PERCENT));
         int count = 3 + random.nextInt(3);
         for (int i = 0; i < count; i++) {
-            Path own = Files.createDirectories(folder.resolve("n" + i));
-            SoakNode node = new SoakNode(i, own, new Random(random.nextLong()), messages, () -> over);
+            Path nodeFolder = Files.createDirectories(folder.resolve("n" + i));
+            SoakNode node = new SoakNode(i, nodeFolder, new Random(random.nextLong()), messages, () -> stopped);
             node.agent().writeThrough(surplus::write);
             nodes.add(node);
         }
@@ -182,10 +183,10 @@
         }
     }
 
-    private List<Thread> startAll(Random random) {
+    private List<Thread> startThreads(Random random) {
         List<Thread> threads = new ArrayList<>();
-        Random replacing = new Random(random.nextLong());
-        threads.add(new Thread(() -> keepReplacing(replacing)));
+        Random replacementRandom = new Random(random.nextLong());
+        threads.add(new Thread(() -> keepReplacing(replacementRandom)));
         for (SoakNode node : nodes) {
             threads.addAll(node.threads());
         }
@@ -193,30 +194,34 @@
         return threads;
     }
 
-    private void awaitAllJudged() throws InterruptedException {
-        long last = System.nanoTime();
+    /** Waits until all accepted messages have ended, at most until 2 s after the last one is overdue. */
+    private void awaitAllEnded() throws InterruptedException {
+        long lastOverdueNanos = System.nanoTime();
         for (SoakNode node : nodes) {
-            last = Math.max(last, messagesOf(node).mapToLong(message -> message.overdueNanos(node.restarts())).max().orElse(0));
+            lastOverdueNanos = Math.max(lastOverdueNanos,
+                    messagesOf(node).mapToLong(message -> message.overdueNanos(node.restarts())).max().orElse(0));
         }
-        long giveUp = last + TimeUnit.SECONDS.toNanos(2);
-        while (System.nanoTime() < giveUp && messages.values().stream().anyMatch(m -> m.isTaken() && !m.isEnded())) {
+        long giveUpNanos = lastOverdueNanos + TimeUnit.SECONDS.toNanos(2);
+        while (System.nanoTime() < giveUpNanos
+                && messages.values().stream().anyMatch(message -> message.isAccepted() && !message.isEnded())) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
     private Stream<SoakMessage> messagesOf(SoakNode node) {
-        return messages.entrySet().stream().filter(e -> node.has(e.getKey())).map(Map.Entry::getValue);
+        return messages.entrySet().stream().filter(entry -> node.owns(entry.getKey())).map(Map.Entry::getValue);
     }
 
     private List<String> violations() {
-        List<String> found = new ArrayList<>();
+        List<String> violations = new ArrayList<>();
         for (SoakNode node : nodes) {
-            messagesOf(node).forEach(message -> found.addAll(message.violations(node.restarts(), stalls::nanosWithin)));
-            found.addAll(node.drains().violations(stalls::nanosWithin));
-            found.addAll(node.keyOrder().violations());
-            found.addAll(node.faults());
+            messagesOf(node)
+                    .forEach(message -> violations.addAll(message.violations(node.restarts(), stalls::nanosWithin)));
+            violations.addAll(node.drainChecker().violations(stalls::nanosWithin));
+            violations.addAll(node.keyOrderChecker().violations());
+            violations.addAll(node.faults());
         }
-        return found;
+        return violations;
     }
 
     @ParameterizedTest
@@ -224,27 +229,30 @@
     void noRuleIsBrokenUnderAllFaultsTogether(long seed) throws Exception {
         Random random = new Random(seed);
         deploy(seed, random);
-        List<Thread> threads = startAll(random);
+        List<Thread> threads = startThreads(random);
         TimeUnit.MILLISECONDS.sleep(PLAY_MS);
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
             thread.join();
         }
         for (SoakNode node : nodes) {
-            node.mend();
-            node.met().forEach((fault, times) -> met.merge(fault, times, Integer::sum));
+            node.endMachineFaults();
+            node.faultCounts().forEach((fault, times) -> faultCounts.merge(fault, times, Integer::sum));
         }
-        awaitAllJudged();
-        long taken = messages.values().stream().filter(SoakMessage::isTaken).count();
-        String played = "seed " + seed + ": " + nodes.size() + " senders, "
-                + nodes.stream().mapToInt(SoakNode::processes).sum() + " processes, " + taken + " of " + messages.size()
-                + " messages taken on, " + nodes.stream().mapToInt(node -> node.drains().calls()).sum() + " calls; " + met
-                + ", failed calls " + SoakNode.failedCalls(nodes) + ", answers with more than belongs to them " + surplus.surplusAnswers();
-        System.out.println(played);
-        assertTrue(taken > 20, "the soak takes too few messages to mean anything: " + played);
-        List<String> found = violations();
-        String timelines = found.isEmpty() ? "" : nodes.stream().map(node -> "n" + node.number() + ":\n" + node.drains().timeline())
+        awaitAllEnded();
+        long acceptedCount = messages.values().stream().filter(SoakMessage::isAccepted).count();
+        String summary = "seed " + seed + ": " + nodes.size() + " senders, "
+                + nodes.stream().mapToInt(SoakNode::processes).sum() + " processes, " + acceptedCount + " of "
+                + messages.size() + " messages accepted, "
+                + nodes.stream().mapToInt(node -> node.drainChecker().calls()).sum() + " calls; " + faultCounts
+                + ", failed system calls " + SoakNode.failedCalls(nodes) + ", answers with surplus bytes "
+                + surplus.surplusAnswers();
+        System.out.println(summary);
+        assertTrue(acceptedCount > 20, "too few messages were accepted for a meaningful run: " + summary);
+        List<String> violations = violations();
+        String timelines = violations.isEmpty() ? "" : nodes.stream()
+                .map(node -> "n" + node.number() + ":\n" + node.drainChecker().timeline())
                 .collect(Collectors.joining("\n"));
-        assertEquals("", String.join("\n", found), played + "\n" + timelines);
+        assertEquals("", String.join("\n", violations), summary + "\n" + timelines);
     }
 }
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -46,7 +46,7 @@
         try (SocketChannel link = takenOver()) {
             StubServer.await("its notice", () -> !notices.isEmpty());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
-            assertTrue(tookMs <= BUDGET_MS + DeadlineRecord.TOLERANCE_MS, "its end came after " + tookMs + " ms");
+            assertTrue(tookMs <= BUDGET_MS + DeadlineHistory.TOLERANCE_MS, "its end came after " + tookMs + " ms");
             assertTrue(link.isOpen());
         }
         StubServer.await("it is this process's again, and ends here", () -> notices.size() == 2);
--- a/src/test/java/starlingvalve/net/ListSoakTest.java
+++ b/src/test/java/starlingvalve/net/ListSoakTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The program as a process of its own while its servers are replaced one after another, under faults that are drawn from a
- * seed: outages of discovery, SIGKILL, SIGTERM with clients that send until the kill, SIGHUP with another address of
- * discovery, a process that is held up, an agent that answers late. The configuration's list is the oldest one all the
- * time. Judged are drains, and that each message that was taken on ends.
+ * Runs the sender as a separate process while its servers are replaced one after another, under faults that are drawn
+ * from a seed: outages of discovery, SIGKILL, SIGTERM with clients that send until the kill, SIGHUP with another
+ * address of discovery, a suspended process, an agent that answers late. The configuration lists the initial servers
+ * all the time. No call may go to a draining server, and each accepted message has to end.
  *
- * <p>{@code -Dsoak.first=1 -Dsoak.seeds=50 -Dsoak.seconds=20} plays more; the default is short.
+ * <p>{@code -Dsoak.first=1 -Dsoak.seeds=50 -Dsoak.seconds=20} runs more seeds for longer; the default is short.
  */
 class ListSoakTest extends SenderProcessFixture {
     private static final long FIRST_SEED = Long.getLong("soak.first", 1);
@@ -35,35 +35,37 @@
     private static final long PLAY_MS = TimeUnit.SECONDS.toMillis(Long.getLong("soak.seconds", 10));
     private static final int SERVERS = 4;
     private static final int CLIENTS = 3;
-    private static final int CLIENT_PATIENCE_MS = 400;
-    private static final int BETWEEN_MESSAGES_MS = 20;
+    private static final int CLIENT_TIMEOUT_MS = 400;
+    private static final int MEAN_PAUSE_MS = 20;
     private static final List<String> MESSAGE_CLASSES = List.of("safe", "keyed", "unsafe");
-    /** From SIGKILL to the next start, and from SIGTERM to SIGKILL, by the pages. */
-    private static final long RESTART_MS = 600;
+    /** Time from SIGKILL to the next start, by the specification. */
+    private static final long RESTART_DELAY_MS = 600;
+    /** Time from SIGTERM to SIGKILL, by the specification. */
     private static final long TERM_TO_KILL_MS = 3700;
-    /** The old address of discovery closes its connections so long after a move. */
-    private static final long OLD_ADDRESS_MS = 1500;
-    private static final int LONGEST_OUTAGE_MS = 3000;
-    private static final int LONGEST_HOLD_UP_MS = 150;
-    private static final int LONGEST_AGENT_DELAY_MS = 60;
-    /** A drained server is gone after this. */
-    private static final long DRAIN_MS = 1500;
+    /** After a move, discovery closes the connections of its old address when this time has passed. */
+    private static final long OLD_ADDRESS_CLOSES_AFTER_MS = 1500;
+    private static final int MAX_EXTRA_OUTAGE_MS = 3000;
+    private static final int MAX_SUSPENSION_MS = 150;
+    private static final int MAX_AGENT_DELAY_MS = 60;
+    /** A draining server is removed from the list after this time. */
+    private static final long DRAIN_DURATION_MS = 1500;
 
-    private enum Fault { KILL, TERM, OUTAGE, KILL_IN_OUTAGE, MOVE, HELD_UP, SLOW_AGENT, NONE }
+    private enum Fault { KILL, TERM, OUTAGE, KILL_IN_OUTAGE, MOVE, SUSPEND, SLOW_AGENT, NONE }
 
-    private final DrainRecord drains = new DrainRecord();
+    private final DrainChecker drainChecker = new DrainChecker();
     private final StallMeter stalls = new StallMeter();
-    private final Map<Fault, Integer> met = new EnumMap<>(Fault.class);
-    private final Set<String> taken = ConcurrentHashMap.newKeySet();
+    private final Map<Fault, Integer> faultCounts = new EnumMap<>(Fault.class);
+    private final Set<String> accepted = ConcurrentHashMap.newKeySet();
     private final Set<String> ended = ConcurrentHashMap.newKeySet();
-    /** Listed as serving, the oldest first, and as draining. */
+    /** Servers that are listed as serving, the oldest first. */
     private final Deque<String> serving = new ArrayDeque<>();
+    /** Servers that are listed as draining, the oldest first. */
     private final Deque<String> draining = new ArrayDeque<>();
     private final Set<String> refusing = ConcurrentHashMap.newKeySet();
-    private int servers = SERVERS;
+    private int serverCount = SERVERS;
     private volatile int agentDelayMs;
-    private volatile boolean over;
-    private final List<StubServer> replaced = new ArrayList<>();
+    private volatile boolean stopped;
+    private final List<StubServer> replacements = new ArrayList<>();
 
     static LongStream seeds() {
         return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
@@ -87,7 +89,7 @@
     @AfterEach
     void closeAll() throws IOException {
         stalls.close();
-        for (StubServer server : replaced) {
+        for (StubServer server : replacements) {
             server.close();
         }
     }
@@ -99,18 +101,18 @@
 
     // ---- servers ----
 
-    private StubServer.Script answers(String server, Random random) {
+    private StubServer.Script endpointScript(String server, Random random) {
         return (call, socket) -> {
-            drains.called(server, call.atNanos());
+            drainChecker.called(server, call.atNanos());
             int choice;
             synchronized (random) {
                 choice = random.nextInt(10);
             }
-            if (refusing.contains(server) || choice == 0 && !over) {
+            if (refusing.contains(server) || choice == 0 && !stopped) {
                 StubServer.write(socket, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
                 return;
             }
-            if (choice <= 2 && !over) {
+            if (choice <= 2 && !stopped) {
                 TimeUnit.MILLISECONDS.sleep(100 * choice);
             }
             ended.addAll(ids(call));
@@ -118,30 +120,30 @@
         };
     }
 
-    /** A new server takes the place of the oldest one, which drains and is gone some time later. */
+    /** Lists a new server in place of the oldest one, which drains, refuses calls and is removed some time later. */
     private void replaceOne(Random random) throws IOException {
-        String fresh = "s-" + servers++;
-        StubServer server = new StubServer(answers(fresh, new Random(random.nextLong())));
-        replaced.add(server);
-        agent.list(fresh, server.hostPort(), DiscoveryAgent.SERVING);
-        agent.change(fresh, DiscoveryAgent.SERVING);
-        serving.add(fresh);
-        String old = serving.remove();
-        agent.change(old, DiscoveryAgent.DRAINING);
-        drains.withdrawn(old, System.nanoTime());
-        refusing.add(old);
-        draining.add(old);
+        String newServer = "s-" + serverCount++;
+        StubServer server = new StubServer(endpointScript(newServer, new Random(random.nextLong())));
+        replacements.add(server);
+        agent.list(newServer, server.hostPort(), DiscoveryAgent.SERVING);
+        agent.change(newServer, DiscoveryAgent.SERVING);
+        serving.add(newServer);
+        String oldServer = serving.remove();
+        agent.change(oldServer, DiscoveryAgent.DRAINING);
+        drainChecker.withdrawn(oldServer, System.nanoTime());
+        refusing.add(oldServer);
+        draining.add(oldServer);
     }
 
     private void keepReplacing(Random random) {
-        Deque<Long> since = new ArrayDeque<>();
+        Deque<Long> drainStartNanos = new ArrayDeque<>();
         try {
-            while (!over) {
+            while (!stopped) {
                 TimeUnit.MILLISECONDS.sleep(150 + random.nextInt(500));
                 replaceOne(random);
-                since.add(System.nanoTime());
-                if (System.nanoTime() - since.peek() > TimeUnit.MILLISECONDS.toNanos(DRAIN_MS)) {
-                    since.remove();
+                drainStartNanos.add(System.nanoTime());
+                if (System.nanoTime() - drainStartNanos.peek() > TimeUnit.MILLISECONDS.toNanos(DRAIN_DURATION_MS)) {
+                    drainStartNanos.remove();
                     agent.change(draining.remove(), DiscoveryAgent.DELETED);
                 }
             }
@@ -152,28 +154,28 @@
 
     // ---- clients ----
 
-    /** Hands in messages on a connection that is kept as long as it stays open. */
-    private void handIn(String client, Random random) {
-        int number = 0;
-        while (!over) {
+    /** Submits messages one after another on a connection that is kept as long as the sender keeps it open. */
+    private void submitMessages(String client, Random random) {
+        int messageNumber = 0;
+        while (!stopped) {
             try (Socket socket = new Socket(sender.address().getAddress(), sender.address().getPort())) {
-                socket.setSoTimeout(CLIENT_PATIENCE_MS);
-                BufferedInputStream in = new BufferedInputStream(socket.getInputStream());
-                while (!over) {
+                socket.setSoTimeout(CLIENT_TIMEOUT_MS);
+                BufferedInputStream input = new BufferedInputStream(socket.getInputStream());
+                while (!stopped) {
                     String messageClass = MESSAGE_CLASSES.get(random.nextInt(MESSAGE_CLASSES.size()));
-                    String id = messageClass + "-" + client + number++;
+                    String id = messageClass + "-" + client + messageNumber++;
                     StubServer.write(socket, TestConfig.message(id, messageClass, "hello"));
-                    StubServer.Message answer = StubServer.read(in, 0);
+                    StubServer.Message answer = StubServer.read(input, 0);
                     if (answer == null) {
                         break;
                     }
                     if (answer.line().contains(" 202 ")) {
-                        taken.add(id);
+                        accepted.add(id);
                     }
-                    TimeUnit.MILLISECONDS.sleep(random.nextInt(2 * BETWEEN_MESSAGES_MS));
+                    TimeUnit.MILLISECONDS.sleep(random.nextInt(2 * MEAN_PAUSE_MS));
                 }
-            } catch (IOException gone) {
-                pause(BETWEEN_MESSAGES_MS);
+            } catch (IOException e) {
+                pause(MEAN_PAUSE_MS);
             } catch (InterruptedException e) {
                 return;
             }
@@ -192,34 +194,34 @@
 
     private void killAndStart() throws Exception {
         sender.kill();
-        pause(RESTART_MS);
+        pause(RESTART_DELAY_MS);
         sender.start();
     }
 
     private void outage(Random random, boolean withKill) throws Exception {
-        long from = agent.fallSilent();
-        drains.note(from, "discovery falls silent");
+        long fromNanos = agent.fallSilent();
+        drainChecker.note(fromNanos, "discovery is unreachable");
         if (withKill) {
             pause(random.nextInt(300));
             killAndStart();
         }
-        pause(200 + random.nextInt(LONGEST_OUTAGE_MS));
-        long to = agent.comeBack();
-        drains.note(to, "discovery is back");
-        drains.outage(from, to);
+        pause(200 + random.nextInt(MAX_EXTRA_OUTAGE_MS));
+        long toNanos = agent.comeBack();
+        drainChecker.note(toNanos, "discovery is reachable again");
+        drainChecker.outage(fromNanos, toNanos);
     }
 
-    private void move() throws Exception {
-        DiscoveryAgent.Address old = agent.move();
+    private void moveDiscovery() throws Exception {
+        DiscoveryAgent.Address oldAddress = agent.move();
         configure();
-        drains.moved(System.nanoTime());
+        drainChecker.moved(System.nanoTime());
         sender.signal("HUP");
-        old.closeAfter(OLD_ADDRESS_MS);
+        oldAddress.closeAfter(OLD_ADDRESS_CLOSES_AFTER_MS);
     }
 
-    private void one(Fault fault, Random random) throws Exception {
-        met.merge(fault, 1, Integer::sum);
-        drains.note(System.nanoTime(), fault.toString());
+    private void causeFault(Fault fault, Random random) throws Exception {
+        faultCounts.merge(fault, 1, Integer::sum);
+        drainChecker.note(System.nanoTime(), fault.toString());
         switch (fault) {
             case KILL -> killAndStart();
             case TERM -> {
@@ -230,16 +232,16 @@
             case OUTAGE -> outage(random, false);
             case KILL_IN_OUTAGE -> outage(random, true);
             case MOVE -> {
-                // Not in a process's first second.
+                // No SIGHUP comes within the first second of a process.
                 pause(1000);
-                move();
+                moveDiscovery();
             }
-            case HELD_UP -> {
+            case SUSPEND -> {
                 sender.signal("STOP");
-                pause(random.nextInt(LONGEST_HOLD_UP_MS));
+                pause(random.nextInt(MAX_SUSPENSION_MS));
                 sender.signal("CONT");
             }
-            case SLOW_AGENT -> agentDelayMs = random.nextInt(LONGEST_AGENT_DELAY_MS);
+            case SLOW_AGENT -> agentDelayMs = random.nextInt(MAX_AGENT_DELAY_MS);
             default -> {
                 agentDelayMs = 0;
                 pause(random.nextInt(500));
@@ -249,43 +251,44 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void noCallGoesToAServerThatDrains(long seed) throws Exception {
+    void noCallGoesToDrainingServer(long seed) throws Exception {
         Random random = new Random(seed);
         for (int i = 0; i < SERVERS; i++) {
             serving.add("s-" + i);
-            endpoints.get(i).script(answers("s-" + i, new Random(random.nextLong())));
+            endpoints.get(i).script(endpointScript("s-" + i, new Random(random.nextLong())));
         }
         agent.beforeAnswer(request -> pause(agentDelayMs));
         sender.start();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
         List<Thread> threads = new ArrayList<>();
-        Random replacing = new Random(random.nextLong());
-        threads.add(new Thread(() -> keepReplacing(replacing)));
+        Random replacementRandom = new Random(random.nextLong());
+        threads.add(new Thread(() -> keepReplacing(replacementRandom)));
         for (int i = 0; i < CLIENTS; i++) {
             String client = (char) ('a' + i) + "-";
-            Random mine = new Random(random.nextLong());
-            threads.add(new Thread(() -> handIn(client, mine)));
+            Random clientRandom = new Random(random.nextLong());
+            threads.add(new Thread(() -> submitMessages(client, clientRandom)));
         }
         threads.forEach(Thread::start);
         Fault[] faults = Fault.values();
-        while (System.nanoTime() < end) {
-            one(faults[random.nextInt(faults.length)], random);
+        while (System.nanoTime() < endNanos) {
+            causeFault(faults[random.nextInt(faults.length)], random);
             pause(100 + random.nextInt(400));
-            assertTrue(sender.isAlive(), () -> "it ended by itself: " + sender.log());
+            assertTrue(sender.isAlive(), () -> "the sender process exited by itself: " + sender.log());
         }
-        over = true;
+        stopped = true;
         for (Thread thread : threads) {
             thread.join();
         }
         awaitAllEnded();
-        System.out.println("seed " + seed + ": " + met + ", " + drains.withdrawals() + " drains, " + drains.calls()
-                + " calls, " + taken.size() + " messages taken");
-        assertTrue(taken.size() > 20 && drains.withdrawals() > 3, "too little happened to mean anything");
-        List<String> violations = drains.violations(stalls::nanosWithin);
+        System.out.println("seed " + seed + ": " + faultCounts + ", " + drainChecker.withdrawals() + " drains, "
+                + drainChecker.calls() + " calls, " + accepted.size() + " messages accepted");
+        assertTrue(accepted.size() > 20 && drainChecker.withdrawals() > 3,
+                "too few messages or drains for a meaningful run");
+        List<String> violations = drainChecker.violations(stalls::nanosWithin);
         if (!violations.isEmpty()) {
-            System.out.println(drains.timeline() + "\n" + sender.logs());
+            System.out.println(drainChecker.timeline() + "\n" + sender.logs());
         }
         assertEquals(List.of(), violations, "seed " + seed);
-        StubServer.await("each message that was taken on ends", () -> ended.containsAll(taken));
+        StubServer.await("each accepted message ends", () -> ended.containsAll(accepted));
     }
 }
--- a/src/test/java/starlingvalve/net/SoakMessage.java
+++ b/src/test/java/starlingvalve/net/SoakMessage.java
@@ -3,76 +3,88 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongBinaryOperator;
-import starlingvalve.net.MessageRecord.Kind;
+import starlingvalve.net.MessageHistory.Kind;
 
-/** What was seen of one message of a soak, judged by all rules that concern a message alone. */
+/** The observed history of one message of a soak, checked against all rules that concern a single message. */
 final class SoakMessage {
-    private final MessageRecord effects;
-    private final DeadlineRecord deadline;
-    /** It was sent whole on a fresh connection, which then ended with no answer. */
+    private final MessageHistory history;
+    private final DeadlineHistory deadlineHistory;
+    /** The submission was sent completely on a new connection, which was then closed without an answer. */
     private volatile boolean closedUnanswered;
 
-    SoakMessage(String id, boolean mayRunOnce, long sentNanos, long budgetMs) {
-        this.effects = new MessageRecord(id, mayRunOnce);
-        this.deadline = new DeadlineRecord(id, sentNanos, budgetMs);
+    SoakMessage(String id, boolean atMostOnce, long sentNanos, long budgetMs) {
+        this.history = new MessageHistory(id, atMostOnce);
+        this.deadlineHistory = new DeadlineHistory(id, sentNanos, budgetMs);
     }
 
-    void taken() {
-        long now = System.nanoTime();
-        effects.add(now, Kind.TAKEN);
-        deadline.taken(now);
+    /** The client has received the 202 for the message. */
+    void accepted() {
+        long nowNanos = System.nanoTime();
+        history.add(nowNanos, Kind.ACCEPTED);
+        deadlineHistory.accepted(nowNanos);
     }
 
-    void called(long atNanos, String what) {
-        effects.add(atNanos, Kind.CALLED);
-        deadline.seen(atNanos, what);
+    /** A call with the message has arrived at an endpoint. */
+    void called(long atNanos, String event) {
+        history.add(atNanos, Kind.CALLED);
+        deadlineHistory.addEvent(atNanos, event);
     }
 
-    void neverRan() {
-        effects.add(System.nanoTime(), Kind.NEVER_RAN);
+    /** The endpoint answers the last call in a way that proves that it did not execute the message. */
+    void notExecuted() {
+        history.add(System.nanoTime(), Kind.NOT_EXECUTED);
     }
 
-    /** An answer that accepts it was written; {@code awaited}: by a sender that still waited for it. */
-    void accepted(boolean awaited) {
-        long now = System.nanoTime();
-        effects.add(now, awaited ? Kind.ACCEPTED : Kind.ACCEPTED_LATE);
-        deadline.ended(now, awaited ? "accepted" : "accepted late");
+    /**
+     * An answer that accepts the message was written.
+     *
+     * @param awaited whether the sender still waited for the answer
+     */
+    void delivered(boolean awaited) {
+        long nowNanos = System.nanoTime();
+        history.add(nowNanos, awaited ? Kind.DELIVERED : Kind.DELIVERED_LATE);
+        deadlineHistory.ended(nowNanos, awaited ? "delivered" : "delivered late");
     }
 
-    void noticed(String result) {
-        long now = System.nanoTime();
-        effects.add(now, Kind.NOTICED);
-        deadline.ended(now, "notice " + result);
+    /** A notice of the end of the message was acknowledged. */
+    void noticeAcknowledged(String result) {
+        long nowNanos = System.nanoTime();
+        history.add(nowNanos, Kind.NOTICE_ACKNOWLEDGED);
+        deadlineHistory.ended(nowNanos, "notice " + result);
     }
 
+    /** The sender process that held the message was killed. */
     void killed(long atNanos) {
-        effects.add(atNanos, Kind.KILLED);
+        history.add(atNanos, Kind.KILLED);
     }
 
+    /** The sender closed the connection of the submission without an answer. */
     void closedUnanswered() {
         closedUnanswered = true;
-        deadline.seen(System.nanoTime(), "closed with no answer");
+        deadlineHistory.addEvent(System.nanoTime(), "closed without an answer");
     }
 
-    boolean isTaken() {
-        return deadline.isTaken();
+    boolean isAccepted() {
+        return deadlineHistory.isAccepted();
     }
 
     boolean isEnded() {
-        return deadline.isEnded();
+        return deadlineHistory.isEnded();
     }
 
-    long overdueNanos(List<DeadlineRecord.Restart> restarts) {
-        return deadline.overdueNanos(restarts);
+    /** The time after which the end of the message is overdue, given these restarts. */
+    long overdueNanos(List<DeadlineHistory.Restart> restarts) {
+        return deadlineHistory.overdueNanos(restarts);
     }
 
-    /** A line for each rule that it breaks. */
-    List<String> violations(List<DeadlineRecord.Restart> restarts, LongBinaryOperator stalls) {
-        List<String> found = new ArrayList<>(effects.violations());
-        deadline.violation(restarts, stalls).filter(how -> !found.contains(how)).ifPresent(found::add);
+    /** Describes each rule that the message breaks, one line each. */
+    List<String> violations(List<DeadlineHistory.Restart> restarts, LongBinaryOperator stalledNanos) {
+        List<String> violations = new ArrayList<>(history.violations());
+        deadlineHistory.violation(restarts, stalledNanos).filter(violation -> !violations.contains(violation))
+                .ifPresent(violations::add);
         if (closedUnanswered) {
-            found.add("read and closed with no answer");
+            violations.add("read and closed without an answer");
         }
-        return found.stream().map(how -> how + ": " + deadline + " " + effects).toList();
+        return violations.stream().map(violation -> violation + ": " + deadlineHistory + " " + history).toList();
     }
 }
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -24,90 +24,95 @@
 import starlingvalve.net.SystemFaults.Call;
 import starlingvalve.net.SystemFaults.Errno;
 
-/** One sender of a soak over all its processes, with its agent, its clients and the faults of its machine. */
+/** One sender of a soak: its successive processes, its discovery agent, its clients and the faults of its machine. */
 final class SoakNode implements AutoCloseable {
-    /** What happens to a sender, apart from its endpoints. */
+    /** A fault or an operation that a sender meets, apart from faults of its endpoints. */
     enum Fault {
-        KILL, RESTART, UPGRADE, RELOAD, HELD_UP, ACCEPT, SOCKET, CONNECT, INTERRUPTIONS, SHORT_TRANSFERS, BROKEN_READS,
+        KILL, RESTART, UPGRADE, RELOAD, SUSPEND, ACCEPT, SOCKET, CONNECT, INTERRUPTIONS, SHORT_TRANSFERS, BROKEN_READS,
         NO_BUFFERS,
         DISK_FULL, DISK_FAILS, DISK_TEARS, NO_FILES, CLOCK, AGENT_SILENT, NONE
     }
 
-    private static final List<Fault> OF_PROCESS = List.of(Fault.KILL, Fault.RESTART, Fault.UPGRADE, Fault.RELOAD,
-            Fault.HELD_UP, Fault.NONE);
-    private static final List<Fault> OF_MACHINE = List.of(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT, Fault.INTERRUPTIONS,
-            Fault.SHORT_TRANSFERS, Fault.BROKEN_READS, Fault.NO_BUFFERS, Fault.DISK_FULL, Fault.DISK_FAILS, Fault.DISK_TEARS, Fault.NO_FILES,
-            Fault.CLOCK);
-    /** A kill meanwhile would forget ends that the sender could not read or write, which no program can help. */
-    private static final Set<Fault> HIDE_ENDS = EnumSet.of(Fault.DISK_FULL, Fault.DISK_FAILS, Fault.DISK_TEARS, Fault.NO_FILES,
-            Fault.NO_BUFFERS);
+    private static final List<Fault> PROCESS_FAULTS = List.of(Fault.KILL, Fault.RESTART, Fault.UPGRADE, Fault.RELOAD,
+            Fault.SUSPEND, Fault.NONE);
+    private static final List<Fault> MACHINE_FAULTS = List.of(Fault.ACCEPT, Fault.SOCKET, Fault.CONNECT,
+            Fault.INTERRUPTIONS, Fault.SHORT_TRANSFERS, Fault.BROKEN_READS, Fault.NO_BUFFERS, Fault.DISK_FULL,
+            Fault.DISK_FAILS, Fault.DISK_TEARS, Fault.NO_FILES, Fault.CLOCK);
+    /**
+     * Faults during which the sender can't read or write ends of messages. A kill meanwhile would lose these ends,
+     * which no program can prevent.
+     */
+    private static final Set<Fault> END_LOSING_FAULTS = EnumSet.of(Fault.DISK_FULL, Fault.DISK_FAILS, Fault.DISK_TEARS,
+            Fault.NO_FILES, Fault.NO_BUFFERS);
     private static final String CLASSES = """
             {"name":"hasty","aim_ms":100,"give_up_ms":2500,"repeat":"safe"},
             {"name":"safe","aim_ms":1000,"give_up_ms":4000,"repeat":"safe"},
             {"name":"keyed","aim_ms":1500,"give_up_ms":6000,"repeat":"keyed","window_ms":5000,"sequential":true},
             {"name":"unsafe","aim_ms":1500,"give_up_ms":8000,"repeat":"unsafe","sequential":true}""";
     private static final List<String> CLASS_NAMES = List.of("hasty", "safe", "keyed", "unsafe");
-    /** Classes whose messages go out in the order of their key. */
-    private static final Set<String> IN_ORDER = Set.of("keyed", "unsafe");
-    private static final int KEYS_OF_A_CLIENT = 2;
+    /** Classes whose messages are sent in order for each ordering key. */
+    private static final Set<String> SEQUENTIAL_CLASSES = Set.of("keyed", "unsafe");
+    private static final int KEYS_PER_CLIENT = 2;
     private static final List<Integer> BUDGETS_MS = List.of(2500, 4000, 6000, 8000);
 
-    private static final int CLIENT_PATIENCE_MS = 400;
-    /** An answer that comes so shortly before the sender reads no more may cross that. */
-    private static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final int RECONNECT_MS = 12;
-    private static final long KILL_SEEN_MS = 200;
-    /** What the agent has for less than that before it falls silent can't be known. */
+    private static final int CLIENT_TIMEOUT_MS = 400;
+    /** An answer that is written less than this before the sender stops reading may arrive too late. */
+    private static final long CROSSING_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final int RECONNECT_DELAY_MS = 12;
+    /** A kill of the process is counted within this time. */
+    private static final long KILL_COUNTED_AFTER_MS = 200;
+    /** The sender may not have received a change of the list that precedes an outage of the agent by less than this. */
     private static final long LIST_SETTLES_MS = 150;
-    /** SIGKILL comes no sooner after SIGTERM. */
+    /** Least time between SIGTERM and SIGKILL. */
     private static final long TERM_TO_KILL_MS = 3700;
-    private static final long RESTART_MS = 600;
-    /** No notice is overdue until so long after a restarted sender is ready. */
+    private static final long RESTART_DELAY_MS = 600;
+    /** No notice is overdue until this time has passed after a restarted sender is ready. */
     private static final long READY_GRACE_MS = 1500;
-    private static final long READY_MS = 30_000;
-    private static final long OLD_ADDRESS_MS = 1500;
-    private static final int LONGEST_HOLD_UP_MS = 150;
-    private static final int LONGEST_FAULT_MS = 700;
-    private static final int LONGEST_SILENCE_MS = 3000;
-    /** What could not be read or written is by then. */
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final long OLD_ADDRESS_CLOSES_AFTER_MS = 1500;
+    private static final int MAX_SUSPENSION_MS = 150;
+    private static final int MAX_EXTRA_FAULT_MS = 700;
+    private static final int MAX_OUTAGE_MS = 3000;
+    /** When this time has passed after a fault, the sender has read and written the ends that the fault held back. */
     private static final long ENDS_SETTLE_MS = 500;
 
     private final int number;
     private final Path folder;
     private final Random random;
     private final Map<String, SoakMessage> messages;
-    private final BooleanSupplier over;
+    private final BooleanSupplier stopped;
     private final DiscoveryAgent agent = new DiscoveryAgent();
-    private final DrainRecord drains = new DrainRecord();
-    private final KeyOrderRecord keyOrder = new KeyOrderRecord();
+    private final DrainChecker drainChecker = new DrainChecker();
+    private final KeyOrderChecker keyOrderChecker = new KeyOrderChecker();
     private final InetSocketAddress listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-    private final List<DeadlineRecord.Restart> restarts = new CopyOnWriteArrayList<>();
+    private final List<DeadlineHistory.Restart> restarts = new CopyOnWriteArrayList<>();
     private final List<SenderProcess> processes = new CopyOnWriteArrayList<>();
     private SystemFaults systemFaults;
     private final List<String> failures = new CopyOnWriteArrayList<>();
-    private final Map<Fault, Integer> met = new EnumMap<>(Fault.class);
-    /** Held while ends can't be read or written. */
-    private final ReentrantLock kills = new ReentrantLock();
+    private final Map<Fault, Integer> faultCounts = new EnumMap<>(Fault.class);
+    /** Held during {@link #END_LOSING_FAULTS}, and during kills, so that no kill loses ends. */
+    private final ReentrantLock killLock = new ReentrantLock();
     private final boolean busy;
     private long listChangedNanos = System.nanoTime();
-    private String known;
+    private String initialList;
     private volatile SenderProcess current;
-    /** A process of this sender is ready, and can ask the agent. */
+    /** Whether a process of this sender is ready, and can ask the agent. */
     private volatile boolean serving;
-    /** Counts the processes: what is answered to a killed one was told to nobody. */
-    private volatile int life;
-    private volatile long closingNanos = Long.MAX_VALUE;
+    /** Counts the ended processes, since an answer to a call of a killed process is read by nobody. */
+    private volatile int processRun;
+    /** The time until which answers count as read by a process that shuts down. */
+    private volatile long lastReadNanos = Long.MAX_VALUE;
 
-    SoakNode(int number, Path folder, Random random, Map<String, SoakMessage> messages, BooleanSupplier over)
+    SoakNode(int number, Path folder, Random random, Map<String, SoakMessage> messages, BooleanSupplier stopped)
             throws IOException {
         this.number = number;
         this.folder = folder;
         this.random = random;
         this.messages = messages;
-        this.over = over;
+        this.stopped = stopped;
         this.busy = number == 0 || random.nextBoolean();
-        agent.beforeNoticed(lines -> lines.forEach(line -> keyOrder.over(idOf(line), System.nanoTime())));
-        agent.whenNoticed(this::noticed);
+        agent.beforeNoticed(lines -> lines.forEach(line -> keyOrderChecker.ended(idOf(line), System.nanoTime())));
+        agent.whenNoticed(this::noticesAcknowledged);
     }
 
     private static int freePort() throws IOException {
@@ -124,41 +129,41 @@
         return agent;
     }
 
-    DrainRecord drains() {
-        return drains;
+    DrainChecker drainChecker() {
+        return drainChecker;
     }
 
-    KeyOrderRecord keyOrder() {
-        return keyOrder;
+    KeyOrderChecker keyOrderChecker() {
+        return keyOrderChecker;
     }
 
-    int life() {
-        return life;
+    int processRun() {
+        return processRun;
     }
 
-    /** Whether a process that may wait for an answer still reads it: at its closing time an ending one does no more. */
-    boolean reads() {
-        return System.nanoTime() < closingNanos;
+    /** Whether an answer that is written now is read: a process that shuts down stops reading at its shutdown limit. */
+    boolean stillReadsAnswers() {
+        return System.nanoTime() < lastReadNanos;
     }
 
     int processes() {
         return processes.size();
     }
 
-    List<DeadlineRecord.Restart> restarts() {
+    List<DeadlineHistory.Restart> restarts() {
         return restarts;
     }
 
-    Map<Fault, Integer> met() {
-        return met;
+    Map<Fault, Integer> faultCounts() {
+        return faultCounts;
     }
 
-    /** Whether a message was handed in here. */
-    boolean has(String id) {
+    /** Whether a message was submitted to this sender. */
+    boolean owns(String id) {
         return id.split("-")[1].equals(Integer.toString(number));
     }
 
-    /** How many system calls have failed, by kind. */
+    /** Number of system calls that have failed in these senders, by kind. */
     static Map<Call, Long> failedCalls(List<SoakNode> nodes) throws IOException {
         Map<Call, Long> failed = new EnumMap<>(Call.class);
         for (SoakNode node : nodes) {
@@ -169,15 +174,15 @@
         return failed;
     }
 
-    private void note(String what) {
-        drains.note(System.nanoTime(), what);
+    private void note(String event) {
+        drainChecker.note(System.nanoTime(), event);
     }
 
-    private void noticed(List<String> lines) {
+    private void noticesAcknowledged(List<String> lines) {
         for (String line : lines) {
             SoakMessage message = messages.get(idOf(line));
             if (message != null) {
-                message.noticed(line.replaceAll(".*\"result\":\"(\\w+)\".*", "$1"));
+                message.noticeAcknowledged(line.replaceAll(".*\"result\":\"(\\w+)\".*", "$1"));
             }
         }
     }
@@ -190,36 +195,38 @@
 
     private Path configure() throws IOException {
         return new TestConfig(agent.hostPort()).classes(CLASSES).workers(busy ? 8 : 2).batch(1 + random.nextInt(5))
-                .secondCopies(true).known(known).write(folder);
+                .secondCopies(true).known(initialList).write(folder);
     }
 
     void start() throws Exception {
-        known = agent.list();
+        initialList = agent.list();
         Files.createDirectories(folder.resolve("state"));
         systemFaults = new SystemFaults(folder);
         current = newProcess();
     }
 
     private SenderProcess newProcess() throws Exception {
-        Path own = Files.createDirectories(folder.resolve("process-" + processes.size()));
-        SenderProcess process = new SenderProcess(own, configure())
+        Path processFolder = Files.createDirectories(folder.resolve("process-" + processes.size()));
+        SenderProcess process = new SenderProcess(processFolder, configure())
                 .with("GW_STATE", folder.resolve("state").toString()).with("TMPDIR", folder.toString())
-                .with("GW_NAME", "n" + number).with("GW_LISTEN", "127.0.0.1:" + listen.getPort()).with("GW_OPS", "127.0.0.1:0");
+                .with("GW_NAME", "n" + number).with("GW_LISTEN", "127.0.0.1:" + listen.getPort())
+                .with("GW_OPS", "127.0.0.1:0");
         systemFaults.preload(process);
         processes.add(process);
         note("process " + (processes.size() - 1) + " starts");
-        long begun = System.nanoTime();
+        long beginNanos = System.nanoTime();
         process.start();
-        awaitServing(process, begun);
+        awaitServing(process, beginNanos);
         note("process " + (processes.size() - 1) + " serves");
         serving = true;
         return process;
     }
 
-    private void awaitServing(SenderProcess process, long begun) throws InterruptedException {
+    private void awaitServing(SenderProcess process, long beginNanos) throws InterruptedException {
         while (!serves(process)) {
-            assertTrue(process.isAlive(), () -> "it ended by itself: " + process.log());
-            assertTrue(System.nanoTime() - begun < TimeUnit.MILLISECONDS.toNanos(READY_MS), () -> "not ready: " + process.log());
+            assertTrue(process.isAlive(), () -> "the process exited by itself: " + process.log());
+            assertTrue(System.nanoTime() - beginNanos < TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS),
+                    () -> "the process is not ready in time: " + process.log());
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -233,74 +240,77 @@
         }
     }
 
-    /** SIGKILL, once what has happened is read and on the disk. */
+    /** Sends SIGKILL, once no fault keeps the sender from reading ends and writing them to the disk. */
     private void kill(SenderProcess process) throws InterruptedException {
         serving = process != current;
-        kills.lock();
+        killLock.lock();
         try {
             process.kill();
         } finally {
-            kills.unlock();
+            killLock.unlock();
         }
-        life++;
-        long now = System.nanoTime();
+        processRun++;
+        long nowNanos = System.nanoTime();
         messages.forEach((id, message) -> {
-            if (has(id)) {
-                message.killed(now);
+            if (owns(id)) {
+                message.killed(nowNanos);
             }
         });
         note("SIGKILL");
     }
 
+    /** Sends SIGTERM, and SIGKILL if the process still runs when its shutdown time is up. */
     private void terminate(SenderProcess process) throws Exception {
         serving = process != current;
         note("SIGTERM");
-        closingNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sender.SHUTDOWN_LIMIT_MS) - CROSSING_NANOS;
+        lastReadNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(Sender.SHUTDOWN_LIMIT_MS)
+                - CROSSING_MARGIN_NANOS;
         process.signal("TERM");
-        long killAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TERM_TO_KILL_MS);
-        while (process.isAlive() && System.nanoTime() < killAt) {
+        long killNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TERM_TO_KILL_MS);
+        while (process.isAlive() && System.nanoTime() < killNanos) {
             TimeUnit.MILLISECONDS.sleep(2);
         }
         if (process.isAlive()) {
             kill(process);
         } else {
-            life++;
+            processRun++;
         }
-        closingNanos = Long.MAX_VALUE;
+        lastReadNanos = Long.MAX_VALUE;
     }
 
-    private void restart(boolean inOrder) throws Exception {
-        long from = System.nanoTime();
-        if (inOrder) {
+    private void restart(boolean graceful) throws Exception {
+        long fromNanos = System.nanoTime();
+        if (graceful) {
             terminate(current);
         } else {
             kill(current);
         }
-        TimeUnit.MILLISECONDS.sleep(RESTART_MS);
+        TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
         current = newProcess();
-        restarts.add(new DeadlineRecord.Restart(from, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_GRACE_MS)));
+        restarts.add(new DeadlineHistory.Restart(fromNanos,
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_GRACE_MS)));
     }
 
     private void upgrade() throws Exception {
-        SenderProcess old = current;
+        SenderProcess predecessor = current;
         current = newProcess();
-        terminate(old);
+        terminate(predecessor);
     }
 
     private void reload() throws Exception {
-        // Not in a process's first second.
+        // No SIGHUP comes within the first second of a process.
         TimeUnit.SECONDS.sleep(1);
-        DiscoveryAgent.Address old = agent.move();
+        DiscoveryAgent.Address predecessor = agent.move();
         configure();
-        drains.moved(System.nanoTime());
+        drainChecker.moved(System.nanoTime());
         note("SIGHUP");
         current.signal("HUP");
-        old.closeAfter(OLD_ADDRESS_MS);
+        predecessor.closeAfter(OLD_ADDRESS_CLOSES_AFTER_MS);
     }
 
-    private void holdUp() throws Exception {
+    private void suspend() throws Exception {
         current.signal("STOP");
-        TimeUnit.MILLISECONDS.sleep(draw(LONGEST_HOLD_UP_MS));
+        TimeUnit.MILLISECONDS.sleep(draw(MAX_SUSPENSION_MS));
         current.signal("CONT");
     }
 
@@ -310,27 +320,27 @@
         return random.nextInt(bound);
     }
 
-    private <T> T any(List<T> choices) {
+    private <T> T drawAny(List<T> choices) {
         return choices.get(draw(choices.size()));
     }
 
-    private synchronized void meets(Fault fault) {
-        met.merge(fault, 1, Integer::sum);
+    private synchronized void recordFault(Fault fault) {
+        faultCounts.merge(fault, 1, Integer::sum);
         note(fault.toString());
     }
 
-    private void processFaults() {
+    private void runProcessFaults() {
         try {
-            while (!over.getAsBoolean()) {
+            while (!stopped.getAsBoolean()) {
                 TimeUnit.MILLISECONDS.sleep(300 + draw(2500));
-                Fault fault = any(OF_PROCESS);
-                meets(fault);
+                Fault fault = drawAny(PROCESS_FAULTS);
+                recordFault(fault);
                 switch (fault) {
                     case KILL -> restart(false);
                     case RESTART -> restart(true);
                     case UPGRADE -> upgrade();
                     case RELOAD -> reload();
-                    case HELD_UP -> holdUp();
+                    case SUSPEND -> suspend();
                     default -> TimeUnit.MILLISECONDS.sleep(draw(1000));
                 }
             }
@@ -339,43 +349,44 @@
         }
     }
 
-    private void machineFaults() {
+    private void runMachineFaults() {
         try {
-            while (!over.getAsBoolean()) {
+            while (!stopped.getAsBoolean()) {
                 TimeUnit.MILLISECONDS.sleep(draw(1200));
-                Fault fault = any(OF_MACHINE);
-                meets(fault);
-                play(fault);
+                Fault fault = drawAny(MACHINE_FAULTS);
+                recordFault(fault);
+                runMachineFault(fault);
             }
         } catch (Exception | AssertionError e) {
             failures.add("n" + number + ": " + e);
         }
     }
 
-    private void play(Fault fault) throws Exception {
-        boolean hidesEnds = HIDE_ENDS.contains(fault);
-        if (hidesEnds) {
-            kills.lock();
+    private void runMachineFault(Fault fault) throws Exception {
+        boolean losesEnds = END_LOSING_FAULTS.contains(fault);
+        if (losesEnds) {
+            killLock.lock();
         }
         try {
-            strike(fault, systemFaults);
-            TimeUnit.MILLISECONDS.sleep(50 + draw(LONGEST_FAULT_MS));
+            inject(fault, systemFaults);
+            TimeUnit.MILLISECONDS.sleep(50 + draw(MAX_EXTRA_FAULT_MS));
             systemFaults.mendAll();
-            if (hidesEnds) {
+            if (losesEnds) {
                 TimeUnit.MILLISECONDS.sleep(ENDS_SETTLE_MS);
             }
         } finally {
-            if (hidesEnds) {
-                kills.unlock();
+            if (losesEnds) {
+                killLock.unlock();
             }
         }
     }
 
-    private void strike(Fault fault, SystemFaults faults) throws IOException {
+    private void inject(Fault fault, SystemFaults faults) throws IOException {
         switch (fault) {
-            case ACCEPT -> faults.fail(Call.ACCEPT, any(List.of(Errno.ECONNABORTED, Errno.ENFILE, Errno.ENOBUFS)));
-            case SOCKET -> faults.fail(Call.SOCKET, any(List.of(Errno.ENFILE, Errno.ENOBUFS)));
-            case CONNECT -> faults.fail(Call.CONNECT, any(List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS)));
+            case ACCEPT -> faults.fail(Call.ACCEPT, drawAny(List.of(Errno.ECONNABORTED, Errno.ENFILE, Errno.ENOBUFS)));
+            case SOCKET -> faults.fail(Call.SOCKET, drawAny(List.of(Errno.ENFILE, Errno.ENOBUFS)));
+            case CONNECT -> faults.fail(Call.CONNECT,
+                    drawAny(List.of(Errno.EADDRNOTAVAIL, Errno.ENETUNREACH, Errno.ENOBUFS)));
             case INTERRUPTIONS -> {
                 faults.failEvery(2 + draw(3), Call.RECEIVE, Errno.EINTR);
                 faults.failEvery(2, Call.WAIT, Errno.EINTR);
@@ -383,100 +394,102 @@
             case SHORT_TRANSFERS -> faults.shortTransfers(1 + draw(60));
             case BROKEN_READS -> {
                 faults.onlyAtPort(agent.address().getPort());
-                faults.failEvery(3, Call.RECEIVE, any(List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH)));
+                faults.failEvery(3, Call.RECEIVE, drawAny(List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH)));
             }
             case NO_BUFFERS -> {
                 faults.failEvery(1 + draw(3), Call.SEND, Errno.ENOBUFS);
-                // An answer that can't be read at all is no end that the sender has learned.
+                // Only some reads fail: the sender learns of no end from an answer that it can't read at all.
                 faults.failEvery(2 + draw(3), Call.RECEIVE, Errno.ENOMEM);
             }
             case DISK_FULL -> faults.diskFull();
             case DISK_FAILS -> faults.fail(Call.WRITE, Errno.EIO);
             case DISK_TEARS -> faults.diskTears(draw(200));
             case NO_FILES -> {
-                faults.fail(Call.OPEN, any(List.of(Errno.ENOSPC, Errno.EIO)));
+                faults.fail(Call.OPEN, drawAny(List.of(Errno.ENOSPC, Errno.EIO)));
                 faults.fail(Call.RENAME, Errno.EIO);
             }
             default -> faults.clockAhead((draw(2) == 0 ? 1 : -1) * (long) draw(7_200_000));
         }
     }
 
-    /** From now on a server takes no new work. */
+    /** Lists a server as draining from now on. */
     void withdraw(String server) {
         synchronized (agent) {
             agent.change(server, DiscoveryAgent.DRAINING);
             listChangedNanos = System.nanoTime();
-            drains.withdrawn(server, listChangedNanos);
+            drainChecker.withdrawn(server, listChangedNanos);
         }
     }
 
-    private long fallSilent() throws InterruptedException {
+    /** Starts an outage of the agent once the list has not changed for a while, and returns the start time. */
+    private long startOutage() throws InterruptedException {
         while (true) {
             synchronized (agent) {
                 if (System.nanoTime() - listChangedNanos > TimeUnit.MILLISECONDS.toNanos(LIST_SETTLES_MS)) {
                     return agent.fallSilent();
                 }
             }
-            TimeUnit.MILLISECONDS.sleep(RECONNECT_MS);
+            TimeUnit.MILLISECONDS.sleep(RECONNECT_DELAY_MS);
         }
     }
 
-    private void agentFaults() {
+    private void runAgentFaults() {
         try {
-            while (!over.getAsBoolean()) {
+            while (!stopped.getAsBoolean()) {
                 TimeUnit.MILLISECONDS.sleep(2000 + draw(5000));
-                // What the agent has before a process can ask it for the first time, and an outage then hides, can't be known.
-                while (!over.getAsBoolean() && !(serving && current.log().contains("event=list source=DISCOVERY"))) {
+                // An outage before the first answer of the agent would hide changes that the process had no chance to
+                // learn of, so it begins only after that answer.
+                while (!stopped.getAsBoolean() && !(serving && current.log().contains("event=list source=DISCOVERY"))) {
                     TimeUnit.MILLISECONDS.sleep(20);
                 }
-                if (over.getAsBoolean()) {
+                if (stopped.getAsBoolean()) {
                     return;
                 }
-                meets(Fault.AGENT_SILENT);
-                long from = fallSilent();
-                TimeUnit.MILLISECONDS.sleep(draw(LONGEST_SILENCE_MS));
-                drains.outage(from, agent.comeBack());
-                note("discovery is back");
+                recordFault(Fault.AGENT_SILENT);
+                long fromNanos = startOutage();
+                TimeUnit.MILLISECONDS.sleep(draw(MAX_OUTAGE_MS));
+                drainChecker.outage(fromNanos, agent.comeBack());
+                note("discovery is reachable again");
             }
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** From now on nothing fails any more. */
-    void mend() throws IOException {
+    /** Ends all faults of the machine. */
+    void endMachineFaults() throws IOException {
         systemFaults.mendAll();
     }
 
     // ---- clients ----
 
-    private void handInUntilOver(int client, boolean keeps, int pauseMs) {
-        Random mine = new Random(((long) number << 8) + client);
+    private void submitUntilStopped(int client, boolean keepsConnection, int pauseMs) {
+        Random clientRandom = new Random(((long) number << 8) + client);
         Socket connection = null;
-        for (int i = 0; !over.getAsBoolean(); i++) {
-            int messageClass = mine.nextInt(CLASS_NAMES.size());
+        for (int i = 0; !stopped.getAsBoolean(); i++) {
+            int messageClass = clientRandom.nextInt(CLASS_NAMES.size());
             String id = CLASS_NAMES.get(messageClass) + "-" + number + "-" + client + "-" + i;
             try {
-                boolean fresh = connection == null;
-                if (fresh) {
+                boolean newConnection = connection == null;
+                if (newConnection) {
                     connection = new Socket();
-                    connection.setSoTimeout(CLIENT_PATIENCE_MS);
+                    connection.setSoTimeout(CLIENT_TIMEOUT_MS);
                     connection.setTcpNoDelay(true);
-                    connection.connect(listen, CLIENT_PATIENCE_MS);
+                    connection.connect(listen, CLIENT_TIMEOUT_MS);
                 }
-                boolean stays = handIn(id, messageClass, connection, fresh, mine);
-                if (!stays || !keeps) {
+                boolean staysOpen = submit(id, messageClass, connection, newConnection, clientRandom);
+                if (!staysOpen || !keepsConnection) {
                     connection.close();
                     connection = null;
                 }
-                TimeUnit.MILLISECONDS.sleep(mine.nextInt(2 * pauseMs));
-            } catch (IOException gone) {
-                connection = closed(connection);
+                TimeUnit.MILLISECONDS.sleep(clientRandom.nextInt(2 * pauseMs));
+            } catch (IOException e) {
+                connection = closeAndPause(connection);
             } catch (InterruptedException e) {
                 return;
             }
         }
-        closed(connection);
+        closeAndPause(connection);
     }
 
     private static void pause(long ms) {
@@ -487,81 +500,85 @@
         }
     }
 
-    private static Socket closed(Socket connection) {
+    /** Closes a connection, pauses before a new one is opened, and returns null as the new value. */
+    private static Socket closeAndPause(Socket connection) {
         try {
             if (connection != null) {
                 connection.close();
             }
         } catch (IOException e) {
-            // It is gone either way.
+            // The connection is unusable either way.
         }
-        pause(RECONNECT_MS);
+        pause(RECONNECT_DELAY_MS);
         return null;
     }
 
-    /** Whether the connection stays open. */
-    private boolean handIn(String id, int messageClass, Socket connection, boolean fresh, Random mine) throws IOException {
-        int budget = BUDGETS_MS.get(messageClass) - mine.nextInt(BUDGETS_MS.get(messageClass) / 4);
-        String name = CLASS_NAMES.get(messageClass);
-        SoakMessage message = new SoakMessage(id, name.equals("unsafe"), System.nanoTime(), budget);
+    /** Submits a message and returns whether the connection stays open. */
+    private boolean submit(String id, int messageClass, Socket connection, boolean newConnection, Random clientRandom)
+            throws IOException {
+        int budgetMs = BUDGETS_MS.get(messageClass) - clientRandom.nextInt(BUDGETS_MS.get(messageClass) / 4);
+        String className = CLASS_NAMES.get(messageClass);
+        SoakMessage message = new SoakMessage(id, className.equals("unsafe"), System.nanoTime(), budgetMs);
         messages.put(id, message);
-        // Keys of one client: it hands in a message once the one before it has its answer.
-        String key = name + "-" + id.split("-")[2] + "-" + mine.nextInt(KEYS_OF_A_CLIENT);
-        keyOrder.handedIn(key, id);
-        int sentIn = life;
-        StubServer.write(connection, TestConfig.message(id, name, "x".repeat(1 + mine.nextInt(400)))
-                .replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budget)
-                .replace("POST /" + name, "POST /" + name + "?thread=" + key));
+        // A key belongs to one client, which submits a message only after the answer to the previous one.
+        String key = className + "-" + id.split("-")[2] + "-" + clientRandom.nextInt(KEYS_PER_CLIENT);
+        keyOrderChecker.submitted(key, id);
+        int processRunOfSubmission = processRun;
+        StubServer.write(connection, TestConfig.message(id, className, "x".repeat(1 + clientRandom.nextInt(400)))
+                .replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs)
+                .replace("POST /" + className, "POST /" + className + "?thread=" + key));
         StubServer.Message answer = StubServer.read(new BufferedInputStream(connection.getInputStream()), 0);
         if (answer == null) {
-            // On a kept one the close may have crossed the request, and a kill is counted only once it is done.
-            pause(KILL_SEEN_MS);
-            if (fresh && sentIn == life && current.isAlive()) {
+            // On a reused connection the close may have crossed the request, so only new ones count. A kill is counted
+            // only when it is done, hence the pause.
+            pause(KILL_COUNTED_AFTER_MS);
+            if (newConnection && processRunOfSubmission == processRun && current.isAlive()) {
                 message.closedUnanswered();
             }
             return false;
         }
         if (answer.line().contains(" 202 ")) {
-            if (IN_ORDER.contains(name)) {
-                keyOrder.taken(id);
+            if (SEQUENTIAL_CLASSES.contains(className)) {
+                keyOrderChecker.accepted(id);
             }
-            message.taken();
+            message.accepted();
         }
         return !"close".equalsIgnoreCase(answer.header("Connection"));
     }
 
-    /** All that goes on here in a play. */
+    /** The threads of the faults and the clients of this sender, not yet started. */
     List<Thread> threads() {
-        List<Thread> threads = new ArrayList<>(List.of(new Thread(this::processFaults), new Thread(this::machineFaults),
-                new Thread(this::agentFaults)));
+        List<Thread> threads = new ArrayList<>(List.of(new Thread(this::runProcessFaults),
+                new Thread(this::runMachineFaults), new Thread(this::runAgentFaults)));
         int clients = busy ? 4 : 1;
         for (int i = 0; i < clients; i++) {
             int client = i;
-            boolean keeps = i % 2 == 0;
+            boolean keepsConnection = i % 2 == 0;
             int pauseMs = busy ? 25 : 700;
-            threads.add(new Thread(() -> handInUntilOver(client, keeps, pauseMs)));
+            threads.add(new Thread(() -> submitUntilStopped(client, keepsConnection, pauseMs)));
         }
         return threads;
     }
 
-    /** What went wrong apart from single messages: processes that ended, and faults that they logged. */
+    /** Problems apart from single messages: processes that exited by themselves, and faults that processes logged. */
     List<String> faults() {
-        List<String> found = new ArrayList<>(failures);
+        List<String> faults = new ArrayList<>(failures);
         for (int i = 0; i < processes.size(); i++) {
             String process = "n" + number + " process " + i + ": ";
-            processes.get(i).log().lines().filter(SoakNode::tellsFault).forEach(line -> found.add(process + line));
+            processes.get(i).log().lines().filter(SoakNode::isFault).forEach(line -> faults.add(process + line));
         }
         if (!current.isAlive()) {
-            found.add("n" + number + " ended by itself");
+            faults.add("n" + number + " exited by itself");
         }
-        return found;
+        return faults;
     }
 
-    private static boolean tellsFault(String line) {
-        boolean violated = line.contains(" event=rule-violated ") && !line.contains(" rule=ENDED_LATE ");
-        // The network library's number for this machine, which it draws where it can't read its interfaces.
+    private static boolean isFault(String line) {
+        boolean ruleViolated = line.contains(" event=rule-violated ") && !line.contains(" rule=ENDED_LATE ");
+        // The network library logs this when it can't read the interfaces, and then uses a random machine id.
         boolean harmless = line.contains("(Socket creation failed)");
-        return violated || !harmless && (line.contains(" event=fault ") || line.contains("Exception") || line.contains("does not know"));
+        return ruleViolated || !harmless && (line.contains(" event=fault ") || line.contains("Exception")
+                || line.contains("does not know"));
     }
 
     @Override
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -29,13 +29,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Upgrades in series under load, on real processes, with a plain restart between some of them: a second process of the
- * sender is started beside the first, which gets SIGTERM once the second says that it serves, and SIGKILL if it is
- * still there after the time that it has. Endpoints refuse, fail, hang or are slow meanwhile. Every message that was
- * taken on is judged by {@link DeadlineRecord}.
+ * A series of upgrades under load, on real processes, with a restart without overlap between some of them. For an
+ * upgrade a second process of the sender is started beside the first. The first gets SIGTERM once the second reports
+ * that it serves, and SIGKILL if it still runs after its shutdown time. Meanwhile endpoints refuse, fail, hang or are
+ * slow. Every accepted message is checked by {@link DeadlineHistory}.
  *
- * <p>{@code -Dupgrade.first=1 -Dupgrade.seeds=50 -Dupgrade.seconds=30 -Dupgrade.logs=FOLDER} plays more and keeps the
- * processes' logs; the default is short.
+ * <p>{@code -Dupgrade.first=1 -Dupgrade.seeds=50 -Dupgrade.seconds=30 -Dupgrade.logs=FOLDER} runs more seeds for
+ * longer and keeps the processes' logs; the default is short.
  */
 class UpgradeSoakTest {
     private static final long FIRST_SEED = Long.getLong("upgrade.first", 1);
@@ -43,40 +43,40 @@
     private static final long PLAY_MS = TimeUnit.SECONDS.toMillis(Long.getLong("upgrade.seconds", 12));
     private static final Optional<Path> LOGS = Optional.ofNullable(System.getProperty("upgrade.logs")).map(Path::of);
 
-    private static final int CLIENT_PATIENCE_MS = 400;
-    private static final int RECONNECT_MS = 12;
-    /** SIGKILL comes no sooner after SIGTERM. */
+    private static final int CLIENT_TIMEOUT_MS = 400;
+    private static final int RECONNECT_DELAY_MS = 12;
+    /** Least time between SIGTERM and SIGKILL. */
     private static final long TERM_TO_KILL_MS = 3700;
-    private static final long RESTART_MS = 600;
-    /** No notice is overdue until so long after a restarted sender is ready. */
+    private static final long RESTART_DELAY_MS = 600;
+    /** No notice is overdue until this time has passed after a restarted sender is ready. */
     private static final long READY_GRACE_MS = 1500;
-    private static final long READY_MS = 20_000;
-    private static final long REFUSAL_MS = 200;
-    /** The system ends a busy process after so much processor time, whatever becomes of this one. */
-    private static final long BUSY_PROCESS_S = 60;
+    private static final long READY_TIMEOUT_MS = 20_000;
+    private static final long REFUSAL_DELAY_MS = 200;
+    /** The system ends a busy process after this much processor time, even if this process cannot. */
+    private static final long BUSY_PROCESS_CPU_S = 60;
 
-    /** Names are in the ids, so that a record tells the class. */
-    private record MessageClass(String name, int aimMs, int deadlineMs, String repeat) {
+    /** A class of messages. Its name is part of the message ids, so that a history shows the class. */
+    private record MessageClass(String name, int latencyTargetMs, int deadlineMs, String repeat) {
         String json() {
             return "{\"name\":\"%s\",\"aim_ms\":%d,\"give_up_ms\":%d,\"repeat\":\"%s\",\"window_ms\":%d}"
-                    .formatted(name, aimMs, deadlineMs, repeat, deadlineMs);
+                    .formatted(name, latencyTargetMs, deadlineMs, repeat, deadlineMs);
         }
     }
 
     @TempDir
     Path temporary;
     private Path folder;
-    private final Map<String, DeadlineRecord> records = new ConcurrentHashMap<>();
-    private final List<DeadlineRecord.Restart> restarts = new CopyOnWriteArrayList<>();
+    private final Map<String, DeadlineHistory> histories = new ConcurrentHashMap<>();
+    private final List<DeadlineHistory.Restart> restarts = new CopyOnWriteArrayList<>();
     private final List<SenderProcess> processes = new ArrayList<>();
     private final List<Process> busyProcesses = new ArrayList<>();
     private final List<StubServer> endpoints = new ArrayList<>();
-    private final List<String> signals = new ArrayList<>();
+    private final List<String> processEvents = new ArrayList<>();
     private final StallMeter stalls = new StallMeter();
     private DiscoveryAgent agent;
     private List<MessageClass> classes;
     private int destinations;
-    /** So often all endpoints of a destination accept for a while. */
+    /** Percentage of the phases in which all endpoints of a destination accept. */
     private int healthyPercent;
     private Path config;
     private InetSocketAddress listen;
@@ -91,8 +91,8 @@
         for (SenderProcess process : processes) {
             process.close();
         }
-        for (Process busy : busyProcesses) {
-            busy.destroyForcibly();
+        for (Process busyProcess : busyProcesses) {
+            busyProcess.destroyForcibly();
         }
         for (StubServer endpoint : endpoints) {
             endpoint.close();
@@ -107,16 +107,17 @@
         folder = LOGS.map(logs -> logs.resolve("seed-" + seed)).orElse(temporary);
         Files.createDirectories(folder.resolve("state"));
         agent = new DiscoveryAgent();
-        agent.whenNoticed(this::noticed);
+        agent.whenNoticed(this::noticesAcknowledged);
         classes = List.of(drawClass("safe", random), drawClass("keyed", random), drawClass("unsafe", random),
                 new MessageClass("hasty", 100, 2000 + random.nextInt(2000), "safe"));
         destinations = 2 + random.nextInt(4);
         healthyPercent = 20 + random.nextInt(60);
         for (int destination = 1; destination <= destinations; destination++) {
             int count = 1 + random.nextInt(3);
-            FaultyDestination here = new FaultyDestination(destination, count, new Random(random.nextLong()), () -> faultsOver);
+            FaultyDestination faultyDestination =
+                    new FaultyDestination(destination, count, new Random(random.nextLong()), () -> faultsOver);
             for (int i = 0; i < count; i++) {
-                addEndpoint("s-" + destination + "-" + i, here, i, new Random(random.nextLong()));
+                addEndpoint("s-" + destination + "-" + i, faultyDestination, i, new Random(random.nextLong()));
             }
         }
         listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
@@ -138,7 +139,7 @@
         }
     }
 
-    /** The next process of the sender; what it logs lies in a folder of its own. */
+    /** Starts the next process of the sender, which logs to a folder of its own, and waits until it serves. */
     private SenderProcess newProcess() throws Exception {
         SenderProcess process = new SenderProcess(folder.resolve("process-" + processes.size()), config)
                 .with("GW_STATE", folder.resolve("state").toString())
@@ -147,11 +148,12 @@
                 .with("GW_LISTEN", "127.0.0.1:" + listen.getPort())
                 .with("GW_OPS", "127.0.0.1:0");
         processes.add(process);
-        signal("process " + (processes.size() - 1) + " started");
+        noteProcessEvent("process " + (processes.size() - 1) + " started");
         process.start();
-        assertTrue(awaitUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS), () -> serves(process)),
-                () -> "it never said that it serves: " + process.log());
-        signal("process " + (processes.size() - 1) + " serves");
+        assertTrue(
+                awaitUntil(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS), () -> serves(process)),
+                () -> "it did not report in time that it serves: " + process.log());
+        noteProcessEvent("process " + (processes.size() - 1) + " serves");
         return process;
     }
 
@@ -164,8 +166,8 @@
         }
     }
 
-    private void signal(String what) {
-        signals.add(Instant.now() + " " + what);
+    private void noteProcessEvent(String event) {
+        processEvents.add(Instant.now() + " " + event);
     }
 
     private static boolean awaitUntil(long endNanos, BooleanSupplier condition) throws InterruptedException {
@@ -182,7 +184,7 @@
 
     private void addEndpoint(String name, FaultyDestination destination, int number, Random random) throws IOException {
         Endpoint endpoint = new Endpoint(name, destination, number, random);
-        StubServer stub = new StubServer(endpoint::come);
+        StubServer stub = new StubServer(endpoint::answerCall);
         endpoints.add(stub);
         agent.list(name, stub.hostPort(), destination.number(), DiscoveryAgent.SERVING);
     }
@@ -205,14 +207,14 @@
             return random.nextInt(bound);
         }
 
-        void come(StubServer.Message call, Socket socket) throws Exception {
+        void answerCall(StubServer.Message call, Socket socket) throws Exception {
             List<String> ids = SenderProcessFixture.ids(call);
-            FaultyDestination.Mode now = destination.mode(number, healthyPercent);
-            seen(ids, now + " " + name);
-            switch (now) {
+            FaultyDestination.Mode mode = destination.mode(number, healthyPercent);
+            addEvent(ids, mode + " " + name);
+            switch (mode) {
                 case ACCEPTS -> accept(call, ids, socket, draw(20));
                 case SLOW -> accept(call, ids, socket, 200 + draw(800));
-                case REFUSES -> answer(socket, ids, REFUSAL_MS, "503 x\r\n");
+                case REFUSES -> answer(socket, ids, REFUSAL_DELAY_MS, "503 x\r\n");
                 case TELLS_WAIT -> answer(socket, ids, 0, "429 x\r\nRetry-After: 0." + (1 + draw(5)) + "\r\n");
                 case FAILS -> answer(socket, ids, draw(50), "500 x\r\n");
                 case RESETS -> {
@@ -220,7 +222,7 @@
                     socket.close();
                 }
                 default -> {
-                    // It hangs.
+                    // HANGS: no answer.
                 }
             }
         }
@@ -228,38 +230,38 @@
         private void accept(StubServer.Message call, List<String> ids, Socket socket, long delayMs) throws Exception {
             TimeUnit.MILLISECONDS.sleep(delayMs);
             SenderProcessFixture.accept(call, socket);
-            long now = System.nanoTime();
-            ids.forEach(id -> record(id).ifPresent(record -> record.ended(now, "delivered by " + name)));
+            long nowNanos = System.nanoTime();
+            ids.forEach(id -> history(id).ifPresent(history -> history.ended(nowNanos, "delivered by " + name)));
         }
 
         private void answer(Socket socket, List<String> ids, long delayMs, String statusAndHeaders) throws Exception {
             TimeUnit.MILLISECONDS.sleep(delayMs);
             StubServer.write(socket, "HTTP/1.1 " + statusAndHeaders + "Content-Length: 0\r\n\r\n");
-            seen(ids, "answered " + statusAndHeaders.substring(0, 3));
+            addEvent(ids, "answered " + statusAndHeaders.substring(0, 3));
         }
     }
 
-    private Optional<DeadlineRecord> record(String id) {
-        return Optional.ofNullable(records.get(id));
+    private Optional<DeadlineHistory> history(String id) {
+        return Optional.ofNullable(histories.get(id));
     }
 
-    private void seen(List<String> ids, String what) {
-        long now = System.nanoTime();
-        ids.forEach(id -> record(id).ifPresent(record -> record.seen(now, what)));
+    private void addEvent(List<String> ids, String event) {
+        long nowNanos = System.nanoTime();
+        ids.forEach(id -> history(id).ifPresent(history -> history.addEvent(nowNanos, event)));
     }
 
-    private void noticed(List<String> lines) {
-        long now = System.nanoTime();
+    private void noticesAcknowledged(List<String> lines) {
+        long nowNanos = System.nanoTime();
         for (String line : lines) {
             String result = line.replaceAll(".*\"result\":\"(\\w+)\".*", "$1");
-            record(line.replaceAll(".*\"ref\":\"([^\"]+)\".*", "$1"))
-                    .ifPresent(record -> record.ended(now, "notice " + result));
+            history(line.replaceAll(".*\"ref\":\"([^\"]+)\".*", "$1"))
+                    .ifPresent(history -> history.ended(nowNanos, "notice " + result));
         }
     }
 
     // ---- clients ----
 
-    /** A client that keeps its connection, and goes on using it until the process ends it. */
+    /** A client that uses its connection until the sender closes it. */
     private final class Client {
         private final String prefix;
         private final Random random;
@@ -273,14 +275,14 @@
             this.pauseMs = pauseMs;
         }
 
-        void handInUntil(long endNanos) {
+        void submitUntil(long endNanos) {
             for (int i = 0; System.nanoTime() < endNanos; i++) {
                 try {
                     connect();
-                    handIn(prefix + i);
+                    submit(prefix + i);
                     TimeUnit.MILLISECONDS.sleep(random.nextInt(2 * pauseMs));
-                } catch (IOException gone) {
-                    // The process is gone, or too slow for a client's patience.
+                } catch (IOException e) {
+                    // The process has ended, or did not answer within the client's time-out.
                     disconnect();
                     if (!pause()) {
                         return;
@@ -296,30 +298,30 @@
         private void connect() throws IOException {
             if (connection == null) {
                 connection = new Socket();
-                connection.setSoTimeout(CLIENT_PATIENCE_MS);
+                connection.setSoTimeout(CLIENT_TIMEOUT_MS);
                 connection.setTcpNoDelay(true);
-                connection.connect(listen, CLIENT_PATIENCE_MS);
+                connection.connect(listen, CLIENT_TIMEOUT_MS);
                 input = new BufferedInputStream(connection.getInputStream());
             }
         }
 
-        private void handIn(String number) throws IOException {
+        private void submit(String number) throws IOException {
             MessageClass messageClass = classes.get(random.nextInt(classes.size()));
             String id = messageClass.name() + "-" + number;
             int destination = 1 + random.nextInt(destinations);
             int budget = messageClass.deadlineMs() - random.nextInt(messageClass.deadlineMs() / 4);
-            DeadlineRecord record = new DeadlineRecord(id, System.nanoTime(), budget);
-            records.put(id, record);
+            DeadlineHistory history = new DeadlineHistory(id, System.nanoTime(), budget);
+            histories.put(id, history);
             StubServer.write(connection,
                     TestConfig.message(id, messageClass.name(), "x".repeat(1 + random.nextInt(400)))
                     .replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budget)
                     .replace("dest=" + TestConfig.DESTINATION, "dest=" + destination));
             StubServer.Message answer = StubServer.read(input, 0);
             if (answer == null) {
-                throw new IOException("closed with no answer");
+                throw new IOException("closed without an answer");
             }
             if (answer.line().contains(" 202 ")) {
-                record.taken(System.nanoTime());
+                history.accepted(System.nanoTime());
             }
             if ("close".equalsIgnoreCase(answer.header("Connection"))) {
                 disconnect();
@@ -332,14 +334,14 @@
                     connection.close();
                 }
             } catch (IOException e) {
-                // It is gone either way.
+                // The connection is unusable either way.
             }
             connection = null;
         }
 
         private static boolean pause() {
             try {
-                TimeUnit.MILLISECONDS.sleep(RECONNECT_MS);
+                TimeUnit.MILLISECONDS.sleep(RECONNECT_DELAY_MS);
                 return true;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -348,13 +350,13 @@
         }
     }
 
-    private List<Thread> startClients(Random random, long endNanos, boolean crowd) {
-        int count = crowd ? 30 : 5 + random.nextInt(6);
-        int pauseMs = crowd ? 300 : 20 + random.nextInt(100);
+    private List<Thread> startClients(Random random, long endNanos, boolean manyClients) {
+        int count = manyClients ? 30 : 5 + random.nextInt(6);
+        int pauseMs = manyClients ? 300 : 20 + random.nextInt(100);
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Client client = new Client("c" + i + "-", new Random(random.nextLong()), pauseMs);
-            Thread thread = new Thread(() -> client.handInUntil(endNanos));
+            Thread thread = new Thread(() -> client.submitUntil(endNanos));
             thread.start();
             clients.add(thread);
         }
@@ -364,105 +366,108 @@
     private void startBusyProcesses(int count) throws IOException {
         for (int i = 0; i < count; i++) {
             busyProcesses.add(new ProcessBuilder("sh", "-c",
-                    "ulimit -t " + BUSY_PROCESS_S + "; while :; do :; done").start());
+                    "ulimit -t " + BUSY_PROCESS_CPU_S + "; while :; do :; done").start());
         }
     }
 
     // ---- upgrades and restarts ----
 
-    private SenderProcess upgrade(SenderProcess old) throws Exception {
+    private SenderProcess upgrade(SenderProcess predecessor) throws Exception {
         int number = processes.size() - 1;
-        SenderProcess fresh = newProcess();
-        assertTrue(old.isAlive(), () -> "the old process ended by itself: " + old.log());
-        terminate(old, number);
-        return fresh;
+        SenderProcess successor = newProcess();
+        assertTrue(predecessor.isAlive(), () -> "the predecessor exited by itself: " + predecessor.log());
+        terminate(predecessor, number);
+        return successor;
     }
 
-    /** SIGTERM, and SIGKILL to what is still there when its time is up. */
+    /** Sends SIGTERM, and SIGKILL if the process still runs when its shutdown time is up. */
     private void terminate(SenderProcess process, int number) throws Exception {
-        signal("SIGTERM to process " + number);
+        noteProcessEvent("SIGTERM to process " + number);
         process.signal("TERM");
-        long killAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TERM_TO_KILL_MS);
-        if (!awaitUntil(killAt, () -> !process.isAlive())) {
-            signal("SIGKILL to process " + number);
+        long killNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TERM_TO_KILL_MS);
+        if (!awaitUntil(killNanos, () -> !process.isAlive())) {
+            noteProcessEvent("SIGKILL to process " + number);
             process.kill();
         }
-        signal("process " + number + " ended");
+        noteProcessEvent("process " + number + " ended");
     }
 
-    private SenderProcess restart(SenderProcess old, boolean inOrder) throws Exception {
-        long from = System.nanoTime();
-        if (inOrder) {
-            terminate(old, processes.size() - 1);
+    private SenderProcess restart(SenderProcess previous, boolean graceful) throws Exception {
+        long fromNanos = System.nanoTime();
+        if (graceful) {
+            terminate(previous, processes.size() - 1);
         } else {
-            signal("SIGKILL to process " + (processes.size() - 1));
-            old.kill();
+            noteProcessEvent("SIGKILL to process " + (processes.size() - 1));
+            previous.kill();
         }
-        TimeUnit.MILLISECONDS.sleep(RESTART_MS);
-        SenderProcess fresh = newProcess();
-        restarts.add(new DeadlineRecord.Restart(from,
+        TimeUnit.MILLISECONDS.sleep(RESTART_DELAY_MS);
+        SenderProcess restarted = newProcess();
+        restarts.add(new DeadlineHistory.Restart(fromNanos,
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_GRACE_MS)));
-        return fresh;
+        return restarted;
     }
 
-    private SenderProcess next(SenderProcess old, Random random) throws Exception {
-        return random.nextInt(5) > 0 ? upgrade(old) : restart(old, random.nextBoolean());
+    private SenderProcess replaceProcess(SenderProcess previous, Random random) throws Exception {
+        return random.nextInt(5) > 0 ? upgrade(previous) : restart(previous, random.nextBoolean());
     }
 
-    // ---- the judge ----
+    // ---- checks ----
 
-    private Optional<String> violation(DeadlineRecord record) {
-        return record.violation(restarts, stalls::nanosWithin).map(how -> how + ": " + record);
+    private Optional<String> violation(DeadlineHistory history) {
+        return history.violation(restarts, stalls::nanosWithin).map(violation -> violation + ": " + history);
     }
 
-    private boolean allJudged() {
-        long now = System.nanoTime();
-        return records.values().stream().allMatch(record -> !record.isTaken() || record.isEnded()
-                || now - record.overdueNanos(restarts) > TimeUnit.SECONDS.toNanos(1));
+    private boolean allEndedOrOverdue() {
+        long nowNanos = System.nanoTime();
+        return histories.values().stream().allMatch(history -> !history.isAccepted() || history.isEnded()
+                || nowNanos - history.overdueNanos(restarts) > TimeUnit.SECONDS.toNanos(1));
     }
 
-    /** What a process logs only when something went wrong in itself. */
-    private String faults() {
-        StringBuilder found = new StringBuilder();
+    /** The log lines of all processes that report an internal fault. */
+    private String loggedFaults() {
+        StringBuilder loggedFaults = new StringBuilder();
         for (int i = 0; i < processes.size(); i++) {
             int number = i;
-            processes.get(i).log().lines().filter(UpgradeSoakTest::tellsFault)
-                    .forEach(line -> found.append("process ").append(number).append(": ").append(line).append('\n'));
+            processes.get(i).log().lines().filter(UpgradeSoakTest::isFault)
+                    .forEach(line -> loggedFaults.append("process ").append(number).append(": ").append(line)
+                            .append('\n'));
         }
-        return found.toString();
+        return loggedFaults.toString();
     }
 
-    private static boolean tellsFault(String line) {
-        return line.contains(" event=fault ") || line.contains(" event=takeover-not-in-module ") || line.contains("can't be understood")
+    private static boolean isFault(String line) {
+        return line.contains(" event=fault ") || line.contains(" event=takeover-not-in-module ")
+                || line.contains("can't be understood")
                 || line.contains("does not know") || line.contains("Exception");
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void everyTakenMessageEndsInItsTimeOverUpgrades(long seed) throws Exception {
+    void everyAcceptedMessageEndsInTimeAcrossUpgrades(long seed) throws Exception {
         Random random = new Random(seed);
         deploy(seed, random);
-        boolean crowd = random.nextInt(5) == 0;
-        startBusyProcesses(crowd ? 2 : 0);
+        boolean manyClients = random.nextInt(5) == 0;
+        startBusyProcesses(manyClients ? 2 : 0);
         SenderProcess current = newProcess();
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
-        List<Thread> clients = startClients(random, end, crowd);
-        while (System.nanoTime() < end) {
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
+        List<Thread> clients = startClients(random, endNanos, manyClients);
+        while (System.nanoTime() < endNanos) {
             TimeUnit.MILLISECONDS.sleep(500 + random.nextInt(3000));
-            current = next(current, random);
+            current = replaceProcess(current, random);
         }
         for (Thread client : clients) {
             client.join();
         }
         faultsOver = true;
-        long lastDue = records.values().stream().mapToLong(record -> record.overdueNanos(restarts)).max().orElseThrow();
-        awaitUntil(lastDue + TimeUnit.SECONDS.toNanos(2), this::allJudged);
-        long taken = records.values().stream().filter(DeadlineRecord::isTaken).count();
-        assertTrue(taken > 20, "the soak takes too few messages to mean anything: " + taken);
-        String broken = records.values().stream().map(this::violation).flatMap(Optional::stream).sorted()
+        long lastOverdueNanos = histories.values().stream().mapToLong(history -> history.overdueNanos(restarts)).max()
+                .orElseThrow();
+        awaitUntil(lastOverdueNanos + TimeUnit.SECONDS.toNanos(2), this::allEndedOrOverdue);
+        long accepted = histories.values().stream().filter(DeadlineHistory::isAccepted).count();
+        assertTrue(accepted > 20, "too few messages were accepted for a meaningful run: " + accepted);
+        String violations = histories.values().stream().map(this::violation).flatMap(Optional::stream).sorted()
                 .collect(Collectors.joining("\n"));
-        String signalled = "seed " + seed + ", " + taken + " messages taken on; signals:\n"
-                + String.join("\n", signals) + "\n";
-        assertEquals("", broken + faults(), signalled);
+        String description = "seed " + seed + ", " + accepted + " messages accepted; process events:\n"
+                + String.join("\n", processEvents) + "\n";
+        assertEquals("", violations + loggedFaults(), description);
     }
 }
