--- a/src/test/java/starlingvalve/net/CombinedSoakTest.java
+++ b/src/test/java/starlingvalve/net/CombinedSoakTest.java
@@ -27,8 +27,8 @@
  * Runs several real senders that share their endpoints under all faults together, which overlap: kills, planned
  * restarts, upgrades, reloads, suspended processes; system calls and disks that fail for a moment; stepped clocks;
  * agents that do not answer; answers with surplus bytes; endpoints that refuse, fail, hang, are slow, drain and are
- * replaced. Some senders are busy and some nearly idle; some clients keep their connections until the sender closes them
- * and some do not. The rules are checked by what clients, endpoints and agents observed.
+ * replaced. Some senders are busy and some nearly idle; some clients keep their connections until the sender closes
+ * them and some do not. The rules are checked by what clients, endpoints and agents observed.
  *
  * <p>{@code -Dcombined.first=1 -Dcombined.seeds=50 -Dcombined.seconds=20 -Dcombined.logs=FOLDER} runs more seeds for
  * longer and keeps the processes' logs; the default is short.
@@ -36,7 +36,7 @@
 class CombinedSoakTest {
     private static final long FIRST_SEED = Long.getLong("combined.first", 1);
     private static final long SEEDS = Long.getLong("combined.seeds", 3);
-    private static final long PLAY_MS = TimeUnit.SECONDS.toMillis(Long.getLong("combined.seconds", 15));
+    private static final long DURATION_MS = TimeUnit.SECONDS.toMillis(Long.getLong("combined.seconds", 15));
     private static final Optional<Path> LOGS = Optional.ofNullable(System.getProperty("combined.logs")).map(Path::of);
 
     private static final int SERVERS = 4;
@@ -230,7 +230,7 @@
         Random random = new Random(seed);
         deploy(seed, random);
         List<Thread> threads = startThreads(random);
-        TimeUnit.MILLISECONDS.sleep(PLAY_MS);
+        TimeUnit.MILLISECONDS.sleep(DURATION_MS);
         stopped = true;
         for (Thread thread : threads) {
             thread.join();
--- a/src/test/java/starlingvalve/net/FaultSoakTest.java
+++ b/src/test/java/starlingvalve/net/FaultSoakTest.java
@@ -28,10 +28,10 @@
 class FaultSoakTest extends SenderProcessFixture {
     private static final long FIRST_SEED = Long.getLong("soak.first", 1);
     private static final long SEEDS = Long.getLong("soak.seeds", 3);
-    private static final long PLAY_MS = TimeUnit.SECONDS.toMillis(Long.getLong("soak.seconds", 8));
+    private static final long DURATION_MS = TimeUnit.SECONDS.toMillis(Long.getLong("soak.seconds", 8));
     private static final List<String> MESSAGE_CLASSES = List.of("hasty", "brief", "safe", "keyed", "unsafe");
     private static final int CLIENT_TIMEOUT_MS = 400;
-    private static final long MAX_DELAY_MS = 900;
+    private static final long MAX_ANSWER_DELAY_MS = 900;
     private static final long MEAN_PAUSE_MS = 12;
     private static final long RESTART_DELAY_MS = 600;
     /** An answer that is written less than this before the sender gives up its call may arrive too late. */
@@ -75,7 +75,7 @@
         long nowNanos = System.nanoTime();
         ids.forEach(id -> history(id).add(nowNanos, Kind.CALLED));
         if (!faultsOver && draw(4) == 0) {
-            TimeUnit.MILLISECONDS.sleep(draw((int) MAX_DELAY_MS));
+            TimeUnit.MILLISECONDS.sleep(draw((int) MAX_ANSWER_DELAY_MS));
         }
         int choice = faultsOver ? 0 : draw(100);
         if (choice < 60) {
@@ -208,7 +208,7 @@
         SystemFaults faults = new SystemFaults(folder, sender);
         script(this::answer);
         sender.start();
-        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DURATION_MS);
         List<Thread> clients = new ArrayList<>();
         for (String prefix : List.of("a", "b", "c")) {
             Random clientRandom = new Random(random.nextLong());
--- a/src/test/java/starlingvalve/net/ListSoakTest.java
+++ b/src/test/java/starlingvalve/net/ListSoakTest.java
@@ -32,7 +32,7 @@
 class ListSoakTest extends SenderProcessFixture {
     private static final long FIRST_SEED = Long.getLong("soak.first", 1);
     private static final long SEEDS = Long.getLong("soak.seeds", 3);
-    private static final long PLAY_MS = TimeUnit.SECONDS.toMillis(Long.getLong("soak.seconds", 10));
+    private static final long DURATION_MS = TimeUnit.SECONDS.toMillis(Long.getLong("soak.seconds", 10));
     private static final int SERVERS = 4;
     private static final int CLIENTS = 3;
     private static final int CLIENT_TIMEOUT_MS = 400;
@@ -259,7 +259,7 @@
         }
         agent.beforeAnswer(request -> pause(agentDelayMs));
         sender.start();
-        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DURATION_MS);
         List<Thread> threads = new ArrayList<>();
         Random replacementRandom = new Random(random.nextLong());
         threads.add(new Thread(() -> keepReplacing(replacementRandom)));
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -84,7 +84,7 @@
     private final DiscoveryAgent agent = new DiscoveryAgent();
     private final DrainChecker drainChecker = new DrainChecker();
     private final KeyOrderChecker keyOrderChecker = new KeyOrderChecker();
-    private final InetSocketAddress listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
+    private final InetSocketAddress listenAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
     private final List<DeadlineHistory.Restart> restarts = new CopyOnWriteArrayList<>();
     private final List<SenderProcess> processes = new CopyOnWriteArrayList<>();
     private SystemFaults systemFaults;
@@ -98,7 +98,10 @@
     private volatile SenderProcess current;
     /** Whether a process of this sender is ready, and can ask the agent. */
     private volatile boolean serving;
-    /** Counts the ended processes, since an answer to a call of a killed process is read by nobody. */
+    /**
+     * Number of processes that have ended. It identifies the run of the process that sent a call or got a submission,
+     * since an answer to a call of a killed process is read by nobody.
+     */
     private volatile int processRun;
     /** The time until which answers count as read by a process that shuts down. */
     private volatile long lastReadNanos = Long.MAX_VALUE;
@@ -209,7 +212,7 @@
         Path processFolder = Files.createDirectories(folder.resolve("process-" + processes.size()));
         SenderProcess process = new SenderProcess(processFolder, configure())
                 .with("GW_STATE", folder.resolve("state").toString()).with("TMPDIR", folder.toString())
-                .with("GW_NAME", "n" + number).with("GW_LISTEN", "127.0.0.1:" + listen.getPort())
+                .with("GW_NAME", "n" + number).with("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
                 .with("GW_OPS", "127.0.0.1:0");
         systemFaults.preload(process);
         processes.add(process);
@@ -300,12 +303,12 @@
     private void reload() throws Exception {
         // No SIGHUP comes within the first second of a process.
         TimeUnit.SECONDS.sleep(1);
-        DiscoveryAgent.Address predecessor = agent.move();
+        DiscoveryAgent.Address oldAddress = agent.move();
         configure();
         drainChecker.moved(System.nanoTime());
         note("SIGHUP");
         current.signal("HUP");
-        predecessor.closeAfter(OLD_ADDRESS_CLOSES_AFTER_MS);
+        oldAddress.closeAfter(OLD_ADDRESS_CLOSES_AFTER_MS);
     }
 
     private void suspend() throws Exception {
@@ -475,7 +478,7 @@
                     connection = new Socket();
                     connection.setSoTimeout(CLIENT_TIMEOUT_MS);
                     connection.setTcpNoDelay(true);
-                    connection.connect(listen, CLIENT_TIMEOUT_MS);
+                    connection.connect(listenAddress, CLIENT_TIMEOUT_MS);
                 }
                 boolean staysOpen = submit(id, messageClass, connection, newConnection, clientRandom);
                 if (!staysOpen || !keepsConnection) {
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -40,7 +40,7 @@
 class UpgradeSoakTest {
     private static final long FIRST_SEED = Long.getLong("upgrade.first", 1);
     private static final long SEEDS = Long.getLong("upgrade.seeds", 3);
-    private static final long PLAY_MS = TimeUnit.SECONDS.toMillis(Long.getLong("upgrade.seconds", 12));
+    private static final long DURATION_MS = TimeUnit.SECONDS.toMillis(Long.getLong("upgrade.seconds", 12));
     private static final Optional<Path> LOGS = Optional.ofNullable(System.getProperty("upgrade.logs")).map(Path::of);
 
     private static final int CLIENT_TIMEOUT_MS = 400;
@@ -79,7 +79,7 @@
     /** Percentage of the phases in which all endpoints of a destination accept. */
     private int healthyPercent;
     private Path config;
-    private InetSocketAddress listen;
+    private InetSocketAddress listenAddress;
     private volatile boolean faultsOver;
 
     static LongStream seeds() {
@@ -120,7 +120,7 @@
                 addEndpoint("s-" + destination + "-" + i, faultyDestination, i, new Random(random.nextLong()));
             }
         }
-        listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
+        listenAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
         config = new TestConfig(agent.hostPort())
                 .classes(classes.stream().map(MessageClass::json).collect(Collectors.joining(",")))
                 .workers(random.nextBoolean() ? 3 + random.nextInt(5) : 20 + random.nextInt(20))
@@ -145,7 +145,7 @@
                 .with("GW_STATE", folder.resolve("state").toString())
                 .with("TMPDIR", folder.toString())
                 .with("GW_NAME", "n0")
-                .with("GW_LISTEN", "127.0.0.1:" + listen.getPort())
+                .with("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
                 .with("GW_OPS", "127.0.0.1:0");
         processes.add(process);
         noteProcessEvent("process " + (processes.size() - 1) + " started");
@@ -300,7 +300,7 @@
                 connection = new Socket();
                 connection.setSoTimeout(CLIENT_TIMEOUT_MS);
                 connection.setTcpNoDelay(true);
-                connection.connect(listen, CLIENT_TIMEOUT_MS);
+                connection.connect(listenAddress, CLIENT_TIMEOUT_MS);
                 input = new BufferedInputStream(connection.getInputStream());
             }
         }
@@ -449,7 +449,7 @@
         boolean manyClients = random.nextInt(5) == 0;
         startBusyProcesses(manyClients ? 2 : 0);
         SenderProcess current = newProcess();
-        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PLAY_MS);
+        long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DURATION_MS);
         List<Thread> clients = startClients(random, endNanos, manyClients);
         while (System.nanoTime() < endNanos) {
             TimeUnit.MILLISECONDS.sleep(500 + random.nextInt(3000));
