--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -46,7 +46,7 @@
         try (SocketChannel connection = requestHandover()) {
             StubServer.await("its notice", () -> !notices.isEmpty());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
-            assertTrue(tookMs <= BUDGET_MS + DeadlineRecord.TOLERANCE_MS, "its end came after " + tookMs + " ms");
+            assertTrue(tookMs <= BUDGET_MS + DeadlineHistory.TOLERANCE_MS, "its end came after " + tookMs + " ms");
             assertTrue(connection.isOpen());
         }
         StubServer.await("the message is this process's again, and ends here", () -> notices.size() == 2);
