--- a/src/test/java/starlingvalve/net/FaultProxy.java
+++ b/src/test/java/starlingvalve/net/FaultProxy.java
@@ -12,18 +12,15 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/**
- * A TCP proxy on the loopback between a sender and one server. It holds back what the server answers until told
- * otherwise.
- */
+/** A TCP proxy on the loopback between a sender and one server, which can hold back the server's answers. */
 final class FaultProxy implements AutoCloseable {
     private static final int BUFFER_BYTES = 64 * 1024;
 
     private final InetSocketAddress server;
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    private final Object gate = new Object();
-    private boolean held;
+    private final Object answersLock = new Object();
+    private boolean answersHeld;
 
     FaultProxy(InetSocketAddress server) throws IOException {
         this.server = server;
@@ -34,18 +31,18 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** From now on nothing of what the server answers reaches the sender. */
+    /** Holds back the server's answers from now on. */
     void holdAnswers() {
-        synchronized (gate) {
-            held = true;
+        synchronized (answersLock) {
+            answersHeld = true;
         }
     }
 
-    /** What was held back goes on, in its order. */
+    /** Forwards the answers that were answersHeld back, in their order, and all later ones. */
     void releaseAnswers() {
-        synchronized (gate) {
-            held = false;
-            gate.notifyAll();
+        synchronized (answersLock) {
+            answersHeld = false;
+            answersLock.notifyAll();
         }
     }
 
@@ -59,32 +56,32 @@
         try {
             while (true) {
                 Socket sender = listener.accept();
-                Socket behind = new Socket(server.getAddress(), server.getPort());
-                for (Socket socket : List.of(sender, behind)) {
+                Socket upstream = new Socket(server.getAddress(), server.getPort());
+                for (Socket socket : List.of(sender, upstream)) {
                     socket.setTcpNoDelay(true);
                     sockets.add(socket);
                 }
-                daemon(() -> pass(sender, behind, false));
-                daemon(() -> pass(behind, sender, true));
+                daemon(() -> forward(sender, upstream, false));
+                daemon(() -> forward(upstream, sender, true));
             }
-        } catch (IOException closed) {
-            // The test is over.
+        } catch (IOException e) {
+            // The listening socket was closed.
         }
     }
 
-    private void pass(Socket from, Socket to, boolean answers) {
+    private void forward(Socket from, Socket to, boolean fromServer) {
         try (from; to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             byte[] buffer = new byte[BUFFER_BYTES];
-            for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                if (answers) {
+            for (int length = in.read(buffer); length >= 0; length = in.read(buffer)) {
+                if (fromServer) {
                     awaitRelease();
                 }
-                out.write(buffer, 0, n);
+                out.write(buffer, 0, length);
             }
-        } catch (IOException | InterruptedException ended) {
-            // Either side went away; the other one is closed with it.
+        } catch (IOException | InterruptedException e) {
+            // One side has closed its connection; both sockets are closed on leaving the try block.
         } finally {
             sockets.remove(from);
             sockets.remove(to);
@@ -92,9 +89,9 @@
     }
 
     private void awaitRelease() throws InterruptedException {
-        synchronized (gate) {
-            while (held) {
-                gate.wait();
+        synchronized (answersLock) {
+            while (answersHeld) {
+                answersLock.wait();
             }
         }
     }
--- a/src/test/java/starlingvalve/net/FaultyDestination.java
+++ b/src/test/java/starlingvalve/net/FaultyDestination.java
@@ -5,34 +5,37 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A destination of a soak, whose endpoints change what they do from time to time. */
+/** A destination of a soak test, whose endpoints change their behaviour from time to time. */
 final class FaultyDestination {
-    /** What an endpoint does with a call. */
+    /** The behaviour of an endpoint towards a call. */
     enum Mode { ACCEPTS, REFUSES, THROTTLES, FAILS, SLOW, HANGS, RESETS }
 
-    /** How the endpoints of a destination fare for a while. */
+    /** The behaviour of all endpoints of a destination for a period. */
     enum Phase {
-        /** All accept. */
+        /** All endpoints accept. */
         HEALTHY,
-        /** Each has a fault of its own, or none. */
+        /** Each endpoint has its own fault, or none, for the whole period. */
         FAULTS,
-        /** One is slow or hangs, and the others turn calls away: a copy ends before the attempt that it joined. */
+        /**
+         * One endpoint is slow or hangs and the others reject calls at once, so that a hedge ends before the attempt
+         * that it hedges.
+         */
         ONE_SLOW,
-        /** Each call meets another fault, or none. */
+        /** Each call gets a random fault, or none. */
         ANY_FAULT
     }
 
-    private static final List<Mode> QUICK_REFUSALS = List.of(Mode.REFUSES, Mode.THROTTLES, Mode.FAILS);
+    private static final List<Mode> IMMEDIATE_REJECTIONS = List.of(Mode.REFUSES, Mode.THROTTLES, Mode.FAILS);
 
     private final int number;
     private final Random random;
-    private final BooleanSupplier faultsOver;
+    private final BooleanSupplier faultsEnded;
     private final Mode[] modes;
     private Phase phase = Phase.HEALTHY;
-    private long phaseEnds = System.nanoTime();
+    private long phaseEndNanos = System.nanoTime();
 
-    FaultyDestination(int number, int endpointCount, Random random, BooleanSupplier faultsOver) {
-        this.faultsOver = faultsOver;
+    FaultyDestination(int number, int endpointCount, Random random, BooleanSupplier faultsEnded) {
+        this.faultsEnded = faultsEnded;
         this.number = number;
         this.random = random;
         this.modes = new Mode[endpointCount];
@@ -42,32 +45,35 @@
         return number;
     }
 
-    /** What an endpoint does with a call now; so often all of them accept for a while. */
+    /**
+     * Returns the current behaviour of an endpoint towards a call. {@code healthyPercent} is the probability of a
+     * healthy phase each time a new phase begins.
+     */
     synchronized Mode mode(int endpoint, int healthyPercent) {
-        if (faultsOver.getAsBoolean()) {
+        if (faultsEnded.getAsBoolean()) {
             return Mode.ACCEPTS;
         }
-        if (System.nanoTime() - phaseEnds >= 0) {
+        if (System.nanoTime() - phaseEndNanos >= 0) {
             nextPhase(healthyPercent);
         }
-        return phase == Phase.ANY_FAULT ? any(List.of(Mode.values())) : modes[endpoint];
+        return phase == Phase.ANY_FAULT ? pickMode(List.of(Mode.values())) : modes[endpoint];
     }
 
     private void nextPhase(int healthyPercent) {
-        phaseEnds = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300 + random.nextInt(3000));
+        phaseEndNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300 + random.nextInt(3000));
         phase = random.nextInt(100) < healthyPercent ? Phase.HEALTHY
                 : Phase.values()[1 + random.nextInt(Phase.values().length - 1)];
-        int slow = random.nextInt(modes.length);
+        int slowEndpoint = random.nextInt(modes.length);
         for (int i = 0; i < modes.length; i++) {
             modes[i] = switch (phase) {
                 case HEALTHY -> Mode.ACCEPTS;
-                case ONE_SLOW -> i == slow ? any(List.of(Mode.SLOW, Mode.HANGS)) : any(QUICK_REFUSALS);
-                default -> any(List.of(Mode.values()));
+                case ONE_SLOW -> i == slowEndpoint ? pickMode(List.of(Mode.SLOW, Mode.HANGS)) : pickMode(IMMEDIATE_REJECTIONS);
+                default -> pickMode(List.of(Mode.values()));
             };
         }
     }
 
-    private Mode any(List<Mode> choices) {
+    private Mode pickMode(List<Mode> choices) {
         return choices.get(random.nextInt(choices.size()));
     }
 }
--- a/src/test/java/starlingvalve/net/SenderProcess.java
+++ b/src/test/java/starlingvalve/net/SenderProcess.java
@@ -16,22 +16,22 @@
 import java.util.function.Predicate;
 
 /**
- * The program as a process of its own, with its state, its log and what a test preloads into it below one folder. It
- * can be killed and started again.
+ * A sender that runs in a process of its own and can be killed and started again. Its state, its logs and any preloaded
+ * library are below one folder.
  */
 final class SenderProcess implements AutoCloseable {
-    private static final long END_MS = 10_000;
+    private static final long EXIT_TIMEOUT_MS = 10_000;
 
     private final Path folder;
     private final String logPrefix;
     private final Map<String, String> environment = new HashMap<>();
     private int descriptorLimit;
-    private int life;
+    private int runNumber;
     private Process process;
     private InetSocketAddress address;
     private InetSocketAddress operatorsAddress;
 
-    /** Below this folder; {@code config} is the configuration file. */
+    /** Creates a sender, not started yet, with its files below {@code folder} and this configuration file. */
     SenderProcess(Path folder, Path config) throws IOException {
         this(folder, "log-", Map.of("GW_CONFIG", config.toString(), "GW_STATE", folder.resolve("state").toString(),
                 "TMPDIR", folder.toString()));
@@ -44,32 +44,32 @@
         this.environment.putAll(environment);
     }
 
-    /** A second process of the same sender, which is to take over from this one: not started yet. */
+    /** Returns a second process of the same sender, not started yet, which takes over from this one. */
     SenderProcess successor() {
         SenderProcess successor = new SenderProcess(folder, logPrefix + "next-", environment);
         return successor.withEnvironment("GW_LISTEN", Endpoints.hostPort(address));
     }
 
-    /** What the next process finds in its environment. */
+    /** Sets an environment variable for processes that are started from now on. */
     SenderProcess withEnvironment(String variable, String value) {
         environment.put(variable, value);
         return this;
     }
 
-    /** The next process may hold so many descriptors, by the system's own limit. */
+    /** Sets the limit of open file descriptors ({@code ulimit -n}) for processes that are started from now on. */
     SenderProcess descriptorLimit(int limit) {
         descriptorLimit = limit;
         return this;
     }
 
-    /** The folder that outlasts its processes. */
+    /** Returns the folder of the state that a restarted process reads again. */
     Path stateFolder() {
         return folder.resolve("state");
     }
 
-    /** Starts it, and returns when clients can connect. */
+    /** Starts a process, and returns when clients and operators can connect. */
     SenderProcess start() throws Exception {
-        life++;
+        runNumber++;
         List<String> command = new ArrayList<>();
         if (descriptorLimit > 0) {
             command.addAll(List.of("bash", "-c", "ulimit -n " + descriptorLimit + "; exec \"$@\"", "bash"));
@@ -84,12 +84,13 @@
         return this;
     }
 
-    private InetSocketAddress awaitAddress(String before) throws Exception {
-        awaitLog("it says where it" + before, line -> line.contains(before));
-        String line = log().lines().filter(l -> l.contains(before)).findFirst().orElseThrow();
-        return Config.address(line.substring(line.indexOf(before) + before.length()).trim());
+    private InetSocketAddress awaitAddress(String label) throws Exception {
+        awaitLog("the log has an address after" + label, line -> line.contains(label));
+        String addressLine = log().lines().filter(line -> line.contains(label)).findFirst().orElseThrow();
+        return Config.address(addressLine.substring(addressLine.indexOf(label) + label.length()).trim());
     }
 
+    /** Returns the address for clients. */
     InetSocketAddress address() {
         return address;
     }
@@ -103,10 +104,10 @@
     }
 
     private Path logFile() {
-        return folder.resolve(logPrefix + life);
+        return folder.resolve(logPrefix + runNumber);
     }
 
-    /** The whole lines that this life has logged so far. */
+    /** Returns the complete lines that the current process has logged so far. */
     String log() {
         String text = read(logFile());
         return text.substring(0, text.lastIndexOf('\n') + 1);
@@ -120,35 +121,36 @@
         }
     }
 
-    /** What all lives have logged, one after another. */
+    /** Returns the logs of all process runs, one after another. */
     String allLogs() {
-        StringBuilder all = new StringBuilder();
-        for (int i = 1; i <= life; i++) {
-            all.append(read(folder.resolve(logPrefix + i)));
+        StringBuilder logs = new StringBuilder();
+        for (int run = 1; run <= runNumber; run++) {
+            logs.append(read(folder.resolve(logPrefix + run)));
         }
-        return all.toString();
+        return logs.toString();
     }
 
-    void awaitLog(String what, Predicate<String> line) throws InterruptedException {
-        StubServer.await(what, () -> log().lines().anyMatch(line));
+    /** Waits until the current process has logged a line that matches. */
+    void awaitLog(String description, Predicate<String> line) throws InterruptedException {
+        StubServer.await(description, () -> log().lines().anyMatch(line));
     }
 
-    /** Waits for an event of the event log with these fields, each as {@code name=value}. */
+    /** Waits for an entry of the event log with this event name and these fields, each as {@code name=value}. */
     void awaitEvent(String event, String... fields) throws InterruptedException {
         awaitLog("event " + event + " " + List.of(fields), line -> line.contains(" event=" + event + " ")
                 && List.of(fields).stream().allMatch(field -> (line + " ").contains(" " + field + " ")));
     }
 
-    /** Sends a signal by its name without SIG; returns when it is sent. */
+    /** Sends the signal of this name, without the prefix SIG, and returns when it is sent. */
     void signal(String name) throws IOException, InterruptedException {
         Process kill = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).inheritIO().start();
         assertEquals(0, kill.waitFor(), "no process for SIG" + name);
     }
 
-    /** SIGSTOP; returns when all its threads stand still. SIGCONT lets it go on. */
+    /** Sends SIGSTOP, and returns when all threads are stopped. SIGCONT resumes the process. */
     void suspend() throws IOException, InterruptedException {
         signal("STOP");
-        StubServer.await("all threads stand still", this::isSuspended);
+        StubServer.await("all threads are stopped", this::isSuspended);
     }
 
     private boolean isSuspended() {
@@ -164,15 +166,15 @@
         }
     }
 
-    /** Waits until it has ended by itself. */
+    /** Waits until the process has exited by itself. */
     void awaitExit() throws InterruptedException {
-        assertTrue(process.waitFor(END_MS, TimeUnit.MILLISECONDS), "it does not end: " + log());
+        assertTrue(process.waitFor(EXIT_TIMEOUT_MS, TimeUnit.MILLISECONDS), "the process does not exit: " + log());
     }
 
-    /** SIGKILL; returns when it has ended. */
+    /** Sends SIGKILL, and returns when the process has ended. */
     void kill() throws InterruptedException {
         process.destroyForcibly();
-        assertTrue(process.waitFor(END_MS, TimeUnit.MILLISECONDS), "the process was not killed");
+        assertTrue(process.waitFor(EXIT_TIMEOUT_MS, TimeUnit.MILLISECONDS), "the process was not killed");
     }
 
     @Override
--- a/src/test/java/starlingvalve/net/SenderProcessFixture.java
+++ b/src/test/java/starlingvalve/net/SenderProcessFixture.java
@@ -15,9 +15,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process of its own, between clients, two endpoints of one destination and the platform's agent. */
+/**
+ * Fixture for tests of a sender in a process of its own, with clients, two endpoints of one destination and the
+ * platform's agent.
+ */
 abstract class SenderProcessFixture {
-    /** Of {@code hasty} an attempt times out soon; {@code brief} is given up soon; the others wait long. */
+    /**
+     * Attempts of class {@code hasty} time out early, messages of class {@code brief} are given up early, and the other
+     * classes have long time limits.
+     */
     private static final String CLASSES = """
             {"name":"hasty","aim_ms":100,"give_up_ms":24000,"repeat":"safe"},
             {"name":"brief","aim_ms":4000,"give_up_ms":6000,"repeat":"safe"},
@@ -30,7 +36,7 @@
     final List<StubServer> endpoints = new ArrayList<>();
     SenderProcess sender;
     DiscoveryAgent agent;
-    private String known;
+    private String initialList;
 
     @BeforeEach
     void open() throws Exception {
@@ -41,13 +47,13 @@
             endpoints.add(endpoint);
             agent.list("s-" + i, listedAddress(endpoint), initialLifecycle(i));
         }
-        known = agent.list();
+        initialList = agent.list();
         sender = new SenderProcess(folder, configure());
     }
 
-    /** Writes the configuration, with the list of the beginning and the agent's present address. */
+    /** Writes the configuration, with the initial endpoint list and the agent's current address. */
     Path configure() throws IOException {
-        return new TestConfig(agent.hostPort()).classes(CLASSES).workers(workers()).batch(batch()).known(known)
+        return new TestConfig(agent.hostPort()).classes(CLASSES).workers(workers()).batch(batch()).known(initialList)
                 .write(folder);
     }
 
@@ -55,22 +61,22 @@
         return 2;
     }
 
-    /** As what the list has an endpoint at the beginning. */
+    /** Returns the lifecycle of an endpoint in the initial list. */
     String initialLifecycle(int endpoint) {
         return DiscoveryAgent.SERVING;
     }
 
-    /** So many calls may be out at once. */
+    /** Returns the maximum number of calls in flight. */
     int workers() {
         return 1;
     }
 
-    /** One call may carry so many messages. */
+    /** Returns the maximum number of messages in one call. */
     int batch() {
         return 20;
     }
 
-    /** The address at which the list has an endpoint. */
+    /** Returns the address of an endpoint in the list. */
     String listedAddress(StubServer endpoint) throws IOException {
         return endpoint.hostPort();
     }
@@ -84,84 +90,93 @@
         agent.close();
     }
 
-    /** The platform has answered these notices. */
+    /** Called with the lines of notices that the platform has acknowledged. */
     void noticesAcknowledged(List<String> lines) {
-        // For those who keep account of when.
+        // Overridden by tests that record the times of acknowledgement.
     }
 
     // ---- endpoints ----
 
-    /** Accepts all messages of a call at once. */
+    /** A script that immediately answers a call with acceptance of all its messages. */
     static void accept(StubServer.Message call, Socket socket) throws Exception {
         StubServer.write(socket, acceptance(call));
     }
 
-    /** The answer that accepts all messages of a call. */
+    /** Returns the response that accepts all messages of a call. */
     static String acceptance(StubServer.Message call) {
         return TestConfig.answer(ids(call).stream().map(id -> id + " accepted\r\n").collect(Collectors.joining()));
     }
 
-    /** The ids of the messages that a call carries. */
+    /** Returns the ids of the messages that a call carries: of the header for a single message, else of the batch. */
     static List<String> ids(StubServer.Message call) {
         if (call.header("X-Call-Id") != null) {
             return List.of(call.header("X-Call-Id"));
         }
         List<String> ids = new ArrayList<>();
-        String rest = call.body();
-        while (!rest.isEmpty()) {
-            String line = rest.substring(0, rest.indexOf("\r\n"));
+        String remaining = call.body();
+        while (!remaining.isEmpty()) {
+            String line = remaining.substring(0, remaining.indexOf("\r\n"));
             String[] parts = line.split(" ");
             ids.add(parts[0]);
-            rest = rest.substring(line.length() + 2 + Integer.parseInt(parts[2]) + 2);
+            remaining = remaining.substring(line.length() + 2 + Integer.parseInt(parts[2]) + 2);
         }
         return ids;
     }
 
+    /** Sets the script of all endpoints. */
     void script(StubServer.Script script) {
         endpoints.forEach(endpoint -> endpoint.script(script));
     }
 
+    /** Returns the calls that the endpoints have received, endpoint by endpoint. */
     List<StubServer.Message> calls() {
         return endpoints.stream().flatMap(endpoint -> endpoint.requests.stream()).toList();
     }
 
+    /** Returns the number of received calls that carry the message of this id. */
     long callCount(String id) {
         return calls().stream().filter(call -> ids(call).contains(id)).count();
     }
 
     // ---- clients and operators ----
 
-    static StubServer.Message sendRequest(InetSocketAddress where, String request) throws IOException {
-        try (Socket client = new Socket(where.getAddress(), where.getPort())) {
+    /** Sends a request over a connection of its own and returns the response. */
+    static StubServer.Message sendRequest(InetSocketAddress address, String request) throws IOException {
+        try (Socket client = new Socket(address.getAddress(), address.getPort())) {
             client.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             return StubServer.read(new BufferedInputStream(client.getInputStream()), 0);
         }
     }
 
-    /** The status that a message is answered with. */
+    /** Submits a message and returns the status of the response. */
     String submissionStatus(String id, String messageClass) throws IOException {
         return sendRequest(sender.address(), TestConfig.message(id, messageClass, "hello")).line().split(" ")[1];
     }
 
+    /** Submits a message, which must be accepted. */
     void submit(String id, String messageClass) throws IOException {
         assertEquals("202", submissionStatus(id, messageClass));
     }
 
+    /** Returns the value of the metric {@code svc.name} in the sender's statistics. */
     int metric(String name) {
         return metricOf(sender, name);
     }
 
+    /** Returns the value of the metric {@code svc.name} in the statistics of this process. */
     static int metricOf(SenderProcess process, String name) {
         try {
             String text = sendRequest(process.operatorsAddress(), "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n").body();
-            String line = text.lines().filter(l -> l.startsWith("svc." + name + ":")).findFirst().orElseThrow();
-            return Integer.parseInt(line.replaceAll(".*:(\\d+)\\|.*", "$1"));
+            String metricLine = text.lines().filter(line -> line.startsWith("svc." + name + ":")).findFirst()
+                    .orElseThrow();
+            return Integer.parseInt(metricLine.replaceAll(".*:(\\d+)\\|.*", "$1"));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
+    /** Waits until every accepted message has ended. */
     void awaitAllEnded() throws InterruptedException {
-        StubServer.await("nothing is held any more", () -> metric("in_flight") == 0);
+        StubServer.await("all messages have ended", () -> metric("in_flight") == 0);
     }
 }
--- a/src/test/java/starlingvalve/net/StubServer.java
+++ b/src/test/java/starlingvalve/net/StubServer.java
@@ -18,27 +18,32 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BooleanSupplier;
 
-/** A scripted HTTP server on a loopback socket, and the plain client side, for tests. */
+/** A scripted HTTP server on a loopback socket, with helpers to read and write HTTP messages on either side. */
 final class StubServer implements AutoCloseable {
-    /** A request or an answer; {@code connection} numbers those of one server. */
+    /**
+     * A request or a response, with its first line, its headers by lower-case name and the time when it was read
+     * completely. {@code connection} is the number of its connection, counted per server.
+     */
     record Message(String line, Map<String, String> headers, String body, int connection, long atNanos) {
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
     }
 
-    /** What is done when a request has come: write to the socket, close it, or nothing. */
+    /** Handles requests: it may write to the socket, close it, or do nothing. */
     interface Script {
+        /** Called on the connection's thread for each complete request. */
         void onRequest(Message request, Socket socket) throws Exception;
     }
 
     private static final int BACKLOG = 50;
 
+    /** All requests received so far. */
     final List<Message> requests = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    /** Threads that run scripts. */
-    private final Set<Thread> serving = ConcurrentHashMap.newKeySet();
+    /** Threads that serve connections and run scripts. */
+    private final Set<Thread> connectionThreads = ConcurrentHashMap.newKeySet();
     private volatile Script script;
     private volatile boolean closed;
     private int connections;
@@ -47,7 +52,7 @@
         this(script, new ServerSocket());
     }
 
-    /** On a server socket of the test's own, which is not bound yet. */
+    /** Creates a server on a server socket that the test supplies and that is not bound yet. */
     StubServer(Script script, ServerSocket server) throws IOException {
         this.script = script;
         this.server = server;
@@ -55,8 +60,9 @@
         daemon(this::accept);
     }
 
-    void script(Script next) {
-        script = next;
+    /** Sets the script for requests from now on. */
+    void script(Script newScript) {
+        script = newScript;
     }
 
     InetSocketAddress address() {
@@ -79,49 +85,52 @@
                 Socket socket = server.accept();
                 sockets.add(socket);
                 if (closed) {
-                    // Taken just before the server was closed, and too late to be closed with the others.
+                    // The connection was accepted while close() ran, which may have closed the other sockets already.
                     socket.close();
                 }
-                int number = connections++;
-                daemon(() -> serve(socket, number));
+                int connection = connections++;
+                daemon(() -> serve(socket, connection));
             }
-        } catch (IOException closed) {
-            // The test is over.
+        } catch (IOException e) {
+            // The server socket was closed.
         }
     }
 
-    private void serve(Socket socket, int number) {
-        serving.add(Thread.currentThread());
+    private void serve(Socket socket, int connection) {
+        connectionThreads.add(Thread.currentThread());
         try {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (Message m = read(in, number); m != null; m = read(in, number)) {
-                requests.add(m);
-                script.onRequest(m, socket);
+            for (Message request = read(in, connection); request != null; request = read(in, connection)) {
+                requests.add(request);
+                script.onRequest(request, socket);
             }
-        } catch (Exception gone) {
-            // The other side went away, which is its right.
+        } catch (Exception e) {
+            // The client may close its connection at any time.
         } finally {
-            serving.remove(Thread.currentThread());
+            connectionThreads.remove(Thread.currentThread());
         }
     }
 
-    /** Reads one message with a content length; null at the end of the stream. */
-    static Message read(InputStream in, int number) throws IOException {
-        String line = line(in);
+    /**
+     * Reads one message, whose body is empty unless it has a content length. Returns null at the end of the stream.
+     * {@code connection} becomes the connection number of the message.
+     */
+    static Message read(InputStream in, int connection) throws IOException {
+        String line = readLine(in);
         if (line == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
-            int cut = h.indexOf(':');
-            headers.put(h.substring(0, cut).toLowerCase(Locale.ROOT), h.substring(cut + 1).trim());
+        for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
+            int colon = header.indexOf(':');
+            headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Message(line, headers, new String(body, StandardCharsets.ISO_8859_1), number,
+        return new Message(line, headers, new String(body, StandardCharsets.ISO_8859_1), connection,
                 System.nanoTime());
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
@@ -132,57 +141,62 @@
         return line.toString(StandardCharsets.ISO_8859_1).trim();
     }
 
+    /** Writes this text to the socket. */
     static void write(Socket socket, String text) throws IOException {
-        // Once it is written the other side may act, and the test close the socket: nothing is asked of it after that.
+        // The socket is not used after the write: the peer may react at once, and the test may then close the socket.
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Writes this on every connection. */
+    /** Writes this text to every connection. */
     void answerAll(String text) throws IOException {
         for (Socket socket : sockets) {
             write(socket, text);
         }
     }
 
-    /** Answers with a status and further header lines, each closed by a line end. */
+    /** Returns a script that answers with this status, these header lines (each with its line end) and no body. */
     static Script status(int status, String headers) {
         return (request, socket) -> write(socket, "HTTP/1.1 " + status + " x\r\n" + headers
                 + "Content-Length: 0\r\n\r\n");
     }
 
+    /** Returns a script that never answers. */
     static Script silent() {
         return (request, socket) -> { };
     }
 
-    /** Waits for something that must come about; how soon does not matter. */
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + 30_000_000_000L;
+    /** Waits until the condition holds, and fails after 30 s. */
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        long deadline = System.nanoTime() + 30_000_000_000L;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("never came about: " + what);
+            if (System.nanoTime() > deadline) {
+                throw new AssertionError("condition not met in time: " + description);
             }
             Thread.sleep(2);
         }
     }
 
-    /** Closes all connections that are open; new ones are taken. */
+    /** Closes all open connections; new ones are still accepted. */
     void closeConnections() throws IOException {
         for (Socket socket : sockets) {
             socket.close();
         }
     }
 
-    /** Takes no more connections; those that are open go on. */
+    /** Closes the server socket, so that no more connections are accepted; open connections stay open. */
     void stopAccepting() throws IOException {
         server.close();
     }
 
-    /** Ends its scripts too: one that waited on would fail, and print, in the middle of a later test. */
+    /**
+     * Closes the server and its connections and interrupts its scripts: one that still waits would fail, and print its
+     * error, in the middle of a later test.
+     */
     @Override
     public void close() throws IOException {
         closed = true;
         server.close();
-        serving.forEach(Thread::interrupt);
+        connectionThreads.forEach(Thread::interrupt);
         closeConnections();
     }
 }
--- a/src/test/java/starlingvalve/net/StubServerTest.java
+++ b/src/test/java/starlingvalve/net/StubServerTest.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The scripted server leaves nothing behind for later tests. */
+/** Checks that a closed stub server leaves no running script and no open connection to later tests. */
 class StubServerTest {
     @Test
-    void aScriptThatStillWaitsEndsWithItsServer() throws Exception {
-        CountDownLatch waits = new CountDownLatch(1);
+    void closeInterruptsWaitingScript() throws Exception {
+        CountDownLatch scriptWaits = new CountDownLatch(1);
         CountDownLatch interrupted = new CountDownLatch(1);
         StubServer stub = new StubServer((request, socket) -> {
-            waits.countDown();
+            scriptWaits.countDown();
             try {
-                StubServer.await("what never comes about", () -> false);
+                StubServer.await("a condition that never holds", () -> false);
             } catch (InterruptedException e) {
                 interrupted.countDown();
                 throw e;
@@ -27,22 +27,22 @@
         });
         try (Socket client = new Socket(stub.address().getAddress(), stub.address().getPort())) {
             StubServer.write(client, "GET / HTTP/1.1\r\n\r\n");
-            waits.await();
+            scriptWaits.await();
             stub.close();
-            assertTrue(interrupted.await(10, TimeUnit.SECONDS), "the script waits on");
+            assertTrue(interrupted.await(10, TimeUnit.SECONDS), "the script still waits");
         }
     }
 
     @Test
-    void aConnectionThatIsAcceptedWhileItClosesIsClosedToo() throws Exception {
+    void connectionAcceptedDuringCloseIsClosed() throws Exception {
         CountDownLatch accepted = new CountDownLatch(1);
-        CountDownLatch isClosed = new CountDownLatch(1);
+        CountDownLatch closed = new CountDownLatch(1);
         ServerSocket server = new ServerSocket() {
             @Override
             public Socket accept() throws IOException {
                 Socket socket = super.accept();
                 accepted.countDown();
-                awaitUninterruptibly(isClosed);
+                awaitUninterruptibly(closed);
                 return socket;
             }
         };
@@ -50,7 +50,7 @@
         try (Socket client = new Socket(stub.address().getAddress(), stub.address().getPort())) {
             accepted.await();
             stub.close();
-            isClosed.countDown();
+            closed.countDown();
             client.setSoTimeout(10_000);
             assertEquals(-1, client.getInputStream().read(), "the end of the connection");
         }
--- a/src/test/java/starlingvalve/net/SystemFaults.java
+++ b/src/test/java/starlingvalve/net/SystemFaults.java
@@ -14,18 +14,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/** Steps the wall clock of a sender's process and fails its system calls, by a library that is built here and preloaded. */
+/**
+ * Steps the wall clock of sender processes and makes their system calls fail, through the preloaded library
+ * {@code system-faults.c}, which is compiled here. The library reads the settings from a file, so that they apply to
+ * running processes.
+ */
 final class SystemFaults {
-    /** A system call that can be made to fail, in the order of the library's counters. */
+    /** A kind of system call that can be made to fail, in the order of the library's counters. */
     enum Call {
         /** Writes to the journal. */
         WRITE,
-        /** Cuts the journal. */
+        /** Truncates the journal. */
         TRUNCATE,
         /** Opens a file of the state folder, or the configuration. */
         OPEN,
         /** Renames a file of the state folder. */
         RENAME,
+        /** Creates a socket, or an epoll or event descriptor. */
         SOCKET,
         CONNECT,
         ACCEPT,
@@ -37,7 +42,7 @@
         SEND
     }
 
-    /** How a call fails: Linux's numbers. */
+    /** The error that a failing call reports, with its number on Linux. */
     enum Errno {
         EINTR(4),
         EIO(5),
@@ -58,141 +63,147 @@
         }
     }
 
-    private static final long BUILD_S = 60;
-    private static final String ERRNO = "-errno";
-    private static final String EVERY = "-every";
+    private static final long BUILD_TIMEOUT_SECONDS = 60;
+    private static final String ERRNO_SUFFIX = "-errno";
+    private static final String EVERY_SUFFIX = "-every";
 
-    private final Path control;
-    private final Path injectedFaults;
+    private final Path settingsFile;
+    /** The file of one counter of injected failures per {@link Call}. */
+    private final Path countersFile;
     private final Path library;
     private final Map<String, Long> settings = new TreeMap<>();
 
-    /** Into each process that {@code sender} starts from now on. */
+    /** Builds the library in {@code folder}, and preloads it into each process that {@code sender} starts from now on. */
     SystemFaults(Path folder, SenderProcess sender) throws Exception {
         this(folder);
         preload(sender);
     }
 
-    /** Into none yet. */
+    /** Builds the library in {@code folder}, without preloading it into any process. */
     SystemFaults(Path folder) throws Exception {
-        control = folder.resolve("faults");
-        injectedFaults = folder.resolve("faults-met");
-        write();
-        Files.write(injectedFaults, new byte[Call.values().length * Long.BYTES]);
-        library = library(folder);
+        settingsFile = folder.resolve("faults");
+        countersFile = folder.resolve("faults-met");
+        writeSettings();
+        Files.write(countersFile, new byte[Call.values().length * Long.BYTES]);
+        library = buildLibrary(folder);
     }
 
-    /** Into each process that {@code sender} starts from now on. */
+    /** Preloads the library into each process that {@code sender} starts from now on. */
     void preload(SenderProcess sender) {
-        sender.withEnvironment("FAULTS_CONTROL", control.toString()).withEnvironment("FAULTS_MET", injectedFaults.toString())
+        sender.withEnvironment("FAULTS_CONTROL", settingsFile.toString())
+                .withEnvironment("FAULTS_MET", countersFile.toString())
                 .withEnvironment("LD_PRELOAD", library.toString());
     }
 
-    private static Path library(Path folder) throws Exception {
+    private static Path buildLibrary(Path folder) throws Exception {
         Path library = folder.resolve("system-faults.so");
         Path source = Path.of(SystemFaults.class.getResource("/system-faults.c").toURI());
         Process compiler = new ProcessBuilder("gcc", "-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o",
                 library.toString(), source.toString(), "-ldl").redirectErrorStream(true).start();
-        String said = new String(compiler.getInputStream().readAllBytes());
-        compiler.waitFor(BUILD_S, TimeUnit.SECONDS);
-        assertEquals(0, compiler.exitValue(), said);
+        String compilerOutput = new String(compiler.getInputStream().readAllBytes());
+        compiler.waitFor(BUILD_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(0, compiler.exitValue(), compilerOutput);
         return library;
     }
 
-    /** The wall clock is so far ahead of the machine's, or behind it. */
+    /** Sets how far the wall clock of the processes is ahead of the machine's clock; a negative offset is behind. */
     void setClockOffset(long ms) throws IOException {
         set("clock-ms", ms);
     }
 
-    /** Every such call fails from now on. */
+    /** Makes every call of this kind fail from now on. */
     synchronized void fail(Call call, Errno errno) throws IOException {
         failEvery(1, call, errno);
     }
 
-    /** The next such call fails, and from then on each {@code nth}. */
+    /** Makes the next call of this kind fail, and every {@code nth} one counted from it. */
     synchronized void failEvery(int nth, Call call, Errno errno) throws IOException {
-        settings.put(name(call) + EVERY, (long) nth);
-        set(name(call) + ERRNO, errno.number);
+        settings.put(settingName(call) + EVERY_SUFFIX, (long) nth);
+        set(settingName(call) + ERRNO_SUFFIX, errno.number);
     }
 
-    /** Such calls fail no more. */
-    synchronized void mend(Call call) throws IOException {
-        settings.remove(name(call) + EVERY);
-        settings.remove(name(call) + ERRNO);
-        write();
+    /** Stops failures of calls of this kind. */
+    synchronized void clear(Call call) throws IOException {
+        settings.remove(settingName(call) + EVERY_SUFFIX);
+        settings.remove(settingName(call) + ERRNO_SUFFIX);
+        writeSettings();
     }
 
-    /** Reads and writes of sockets move so many bytes at most. */
+    /** Limits the number of bytes that one read or write of a socket transfers. */
     synchronized void limitTransfers(int bytes) throws IOException {
         settings.put("send-most", (long) bytes);
         set("receive-most", bytes);
     }
 
-    /** Reads and writes of sockets fail only where this port is on one of the ends. */
+    /** Restricts failures and limits of socket reads and writes to connections with this port at either end. */
     void restrictToPort(int port) throws IOException {
         set("port", port);
     }
 
-    /** Writes that fail go through up to so many bytes on each socket. */
+    /** Lets this many bytes be written to each TCP socket before failures of {@link Call#SEND} begin there. */
     void sendBytesBeforeFailure(int bytes) throws IOException {
         set("send-room", bytes);
     }
 
-    /** All is well again, but the clock stays as it is. */
+    /** Removes all failures and limits; the clock offset stays. */
     synchronized void clearAll() throws IOException {
         settings.keySet().removeIf(name -> !name.equals("clock-ms"));
-        write();
+        writeSettings();
     }
 
-    /** How many calls have failed so far, in all processes. */
+    /** Returns the number of calls of this kind that were made to fail so far, in all processes. */
     long injectedFaults(Call call) throws IOException {
-        return ByteBuffer.wrap(Files.readAllBytes(injectedFaults)).order(ByteOrder.nativeOrder())
+        return ByteBuffer.wrap(Files.readAllBytes(countersFile)).order(ByteOrder.nativeOrder())
                 .getLong(call.ordinal() * Long.BYTES);
     }
 
-    /** The disk is full. */
+    /** Makes writes to the journal fail as on a full disk. */
     void fillDisk() throws IOException {
         fail(Call.WRITE, Errno.ENOSPC);
     }
 
-    /** The disk takes so many more bytes and then nothing, and nothing can be cut off. */
+    /**
+     * Lets this many more bytes be written to the journal and then makes all writes fail. The journal can't be truncated
+     * either, so a torn record stays at its end.
+     */
     void failWritesAfter(int bytes) throws IOException {
         settings.put("write-room", (long) bytes);
         fail(Call.TRUNCATE, Errno.EIO);
         fail(Call.WRITE, Errno.EIO);
     }
 
-    /** No connection can be made from here, for want of a local address. */
+    /** Makes all connects fail for lack of a local address. */
     void failConnects() throws IOException {
         fail(Call.CONNECT, Errno.EADDRNOTAVAIL);
     }
 
-    /** Connections can be made again. */
+    /** Stops failures of connects. */
     void clearConnectFaults() throws IOException {
-        mend(Call.CONNECT);
+        clear(Call.CONNECT);
     }
 
-    /** The disk is well again. */
+    /** Stops failures of {@link #fillDisk} and {@link #failWritesAfter}. */
     synchronized void clearDiskFaults() throws IOException {
         settings.remove("write-room");
-        mend(Call.TRUNCATE);
-        mend(Call.WRITE);
+        clear(Call.TRUNCATE);
+        clear(Call.WRITE);
     }
 
-    private static String name(Call call) {
+    /** Returns the name of a call in the library's settings. */
+    private static String settingName(Call call) {
         return call.name().toLowerCase(Locale.ROOT);
     }
 
     private synchronized void set(String name, long value) throws IOException {
         settings.put(name, value);
-        write();
+        writeSettings();
     }
 
-    /** In one piece, as the process reads it at any moment. */
-    private synchronized void write() throws IOException {
-        Path next = control.resolveSibling("faults.next");
-        Files.writeString(next, settings.entrySet().stream().map(e -> e.getKey() + " " + e.getValue() + "\n")
-                .collect(Collectors.joining()));
-        Files.move(next, control, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    /** Replaces the file atomically, since processes may read it at any moment. */
+    private synchronized void writeSettings() throws IOException {
+        Path newFile = settingsFile.resolveSibling("faults.next");
+        Files.writeString(newFile, settings.entrySet().stream()
+                .map(setting -> setting.getKey() + " " + setting.getValue() + "\n").collect(Collectors.joining()));
+        Files.move(newFile, settingsFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
