--- a/src/test/java/starlingvalve/net/DrainProcessTest.java
+++ b/src/test/java/starlingvalve/net/DrainProcessTest.java
@@ -9,23 +9,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The incident of new work sent to draining servers. At first the list has {@code s-0} serving and {@code s-1}
- * draining, and the sender's configuration says the same all the time; then the two change places.
+ * Guards against new calls to draining endpoints, which a sender with an outdated endpoint list makes after a restart
+ * or an outage of discovery. In the initial list and in the configuration, which is never changed, {@code s-0} is
+ * serving and {@code s-1} is draining; later the agent swaps the two.
  */
 class DrainProcessTest extends SenderProcessFixture {
-    /** After a drain is told calls may still begin for so long, by the pages: the grace and the slack. */
+    /** Time in which calls may begin after the sender is notified of a drain: the grace plus the protocol's slack. */
     private static final long GRACE_MS = 250 + 50;
-    /** So late an answer of the agent may be. */
-    private static final long LATE_ANSWER_MS = 200;
-    /** A sender that would send at once has done so after this time. */
-    private static final long AT_ONCE_MS = 1000;
+    /** Maximum delay of the agent's answer while a test watches for an early call. */
+    private static final long MAX_ANSWER_DELAY_MS = 200;
+    /** Time within which a sender that does not wait for discovery would have sent a message. */
+    private static final long IMMEDIATE_SEND_MS = 1000;
 
     @Override
     String initialLifecycle(int endpoint) {
         return endpoint == 0 ? DiscoveryAgent.SERVING : DiscoveryAgent.DRAINING;
     }
 
-    private void changePlaces() {
+    private void swapLifecycles() {
         agent.change("s-1", DiscoveryAgent.SERVING);
         agent.change("s-0", DiscoveryAgent.DRAINING);
     }
@@ -35,84 +36,90 @@
     }
 
     private static void awaitAtMost(long limitMs, BooleanSupplier condition) {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
-        while (!condition.getAsBoolean() && System.nanoTime() < end) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMs);
+        while (!condition.getAsBoolean() && System.nanoTime() < deadline) {
             Thread.onSpinWait();
         }
     }
 
-    /** What the agent has counts as told from the first moment of a process; its answer comes after any early call. */
+    /**
+     * The agent's list applies to a process from its start. The agent delays its answer, so that a call that does not
+     * wait for the answer is made before it.
+     */
     @Test
-    void aNewProcessCallsNoServerBeforeDiscoveryHasAnswered() throws Exception {
+    void restartedSenderMakesNoCallBeforeDiscoveryAnswers() throws Exception {
         script(StubServer.silent());
         sender.start();
         submit("held", "safe");
-        StubServer.await("it is called for", () -> callsTo(0) == 1);
+        StubServer.await("a call carries the message", () -> callsTo(0) == 1);
         sender.kill();
-        changePlaces();
+        swapLifecycles();
         script(SenderProcessFixture::accept);
-        agent.beforeAnswer(request -> awaitAtMost(LATE_ANSWER_MS, () -> callsTo(0) > 1));
+        agent.beforeAnswer(request -> awaitAtMost(MAX_ANSWER_DELAY_MS, () -> callsTo(0) > 1));
         sender.start();
         awaitAllEnded();
-        assertEquals(1, callsTo(0), "new work was sent to a draining server");
+        assertEquals(1, callsTo(0), "a new call to a draining endpoint");
         assertEquals(1, callsTo(1));
     }
 
-    /** What the agent gets at the return of discovery counts at once, though what it was asked before is lost. */
+    /** The agent's list applies as soon as discovery is back, although the requests sent before are never answered. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void afterAnOutageNoCallGoesByTheListFromBefore(boolean startsInTheOutage) throws Exception {
-        if (startsInTheOutage) {
+    void noCallUsesOldListAfterDiscoveryOutage(boolean startsDuringOutage) throws Exception {
+        if (startsDuringOutage) {
             agent.fallSilent();
             sender.start();
-            StubServer.await("the list is asked for", () -> !agent.requests().isEmpty());
+            StubServer.await("the list is requested", () -> !agent.requests().isEmpty());
         } else {
             sender.start();
             StubServer.await("the list is watched", () -> agent.watches() > 0);
             agent.fallSilent();
         }
-        changePlaces();
+        swapLifecycles();
         agent.comeBack();
         TimeUnit.MILLISECONDS.sleep(GRACE_MS);
         submit("late", "safe");
         awaitAllEnded();
-        assertEquals(0, callsTo(0), "new work was sent to a draining server");
+        assertEquals(0, callsTo(0), "a new call to a draining endpoint");
         assertEquals(1, callsTo(1));
     }
 
-    /** That this machine can make no connection for a moment says nothing of the agent, which has the change by then. */
+    /**
+     * Connects that fail on the sender's machine don't count as an outage of discovery: the agent has the changed list
+     * meanwhile, so the sender may not go on with its old one.
+     */
     @Test
-    void connectsThatFailHereAreNoSilenceOfTheAgent() throws Exception {
+    void localConnectFailuresDoNotCountAsDiscoveryOutage() throws Exception {
         SystemFaults faults = new SystemFaults(folder, sender);
         sender.start();
         submit("first", "safe");
         awaitAllEnded();
         faults.failConnects();
         agent.closeConnections();
-        changePlaces();
+        swapLifecycles();
         TimeUnit.MILLISECONDS.sleep(GRACE_MS);
         submit("late", "safe");
         awaitAtMost(GRACE_MS, () -> callsTo(0) > 1);
         faults.clearConnectFaults();
         awaitAllEnded();
-        assertEquals(1, callsTo(0), "new work was sent to a draining server");
+        assertEquals(1, callsTo(0), "a new call to a draining endpoint");
         assertEquals(1, callsTo(1));
     }
 
-    /** The configuration's list is older than what the sender was told before it was killed. */
+    /** The list in the configuration is older than the changes that the sender received before it was killed. */
     @Test
-    void whatAnEarlierProcessWasToldHoldsWhileDiscoveryIsSilent() throws Exception {
+    void receivedDrainAppliesAfterRestartDuringDiscoveryOutage() throws Exception {
         sender.start();
-        changePlaces();
+        swapLifecycles();
         sender.awaitEvent("server-state", "endpoint=s-0", "to=DRAINING");
         sender.kill();
         agent.fallSilent();
         sender.start();
         submit("after", "safe");
-        awaitAtMost(AT_ONCE_MS, () -> callsTo(0) > 0);
+        awaitAtMost(IMMEDIATE_SEND_MS, () -> callsTo(0) > 0);
         agent.comeBack();
         awaitAllEnded();
-        assertEquals(0, callsTo(0), "new work was sent to a draining server");
+        assertEquals(0, callsTo(0), "a new call to a draining endpoint");
         assertEquals(1, callsTo(1));
     }
 }
--- a/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
+++ b/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
@@ -18,17 +18,25 @@
 import starlingvalve.net.SystemFaults.Call;
 import starlingvalve.net.SystemFaults.Errno;
 
-/** A message that was handed in gets its answer and its end though system calls of the sender fail for a moment. */
+/**
+ * Checks that clients are answered and accepted messages are delivered or end in time though system calls of the sender
+ * fail for a while.
+ */
 class FailingCallsProcessTest extends SenderProcessFixture {
-    private static final int CLIENT_PATIENCE_MS = 400;
-    /** The rule's 300 ms, the 50 ms by which time limits are longer on sockets, and what a busy machine takes. */
-    private static final long LATEST_MS = 300 + 50 + 100;
-    /** Of class {@code brief}. */
+    private static final int CLIENT_TIMEOUT_MS = 400;
+    /**
+     * Tolerated delay of a notice after its message's time limit: 300 ms by the rule, 50 ms by which time limits are
+     * longer on sockets, and 100 ms for a busy machine.
+     */
+    private static final long NOTICE_TOLERANCE_MS = 300 + 50 + 100;
+    /** Time limit of messages of class {@code brief}. */
     private static final long BRIEF_MS = 6000;
 
+    /** Time for which calls fail while messages wait. */
     private static final long OUTAGE_MS = 1500;
-    /** For so long a starting process is refused what it needs. */
+    /** Time for which calls fail in a starting process. */
     private static final long START_FAULT_MS = 2500;
+    /** Number of bytes of a journal record that are written before the write fails. */
     private static final int TORN_BYTES = 50;
 
     private SystemFaults faults;
@@ -42,24 +50,24 @@
     private Socket connect() throws IOException {
         Socket client = new Socket(sender.address().getAddress(), sender.address().getPort());
         client.setTcpNoDelay(true);
-        client.setSoTimeout(CLIENT_PATIENCE_MS);
+        client.setSoTimeout(CLIENT_TIMEOUT_MS);
         return client;
     }
 
-    private static String answer(Socket client) throws IOException {
+    private static String readStatusLine(Socket client) throws IOException {
         StubServer.Message answer = StubServer.read(new BufferedInputStream(client.getInputStream()), 0);
-        assertNotNull(answer, "closed with no answer");
+        assertNotNull(answer, "closed without an answer");
         return answer.line();
     }
 
     private static void assertAccepted(Socket client) throws IOException {
-        assertEquals("HTTP/1.1 202 Accepted", answer(client));
+        assertEquals("HTTP/1.1 202 Accepted", readStatusLine(client));
     }
 
     // ---- reads and writes ----
 
     @Test
-    void anInterruptedReadEndsNoClientsConnection() throws Exception {
+    void interruptedReadDoesNotCloseClientConnection() throws Exception {
         try (Socket client = connect()) {
             faults.failEvery(2, Call.RECEIVE, Errno.EINTR);
             for (int i = 0; i < 5; i++) {
@@ -74,7 +82,7 @@
     }
 
     @Test
-    void anInterruptedReadEndsNoCall() throws Exception {
+    void interruptedReadDoesNotEndCall() throws Exception {
         script((call, socket) -> {
             faults.failEvery(2, Call.RECEIVE, Errno.EINTR);
             accept(call, socket);
@@ -82,22 +90,22 @@
         for (int i = 0; i < 5; i++) {
             faults.clearAll();
             submit("interrupted-" + i, "unsafe");
-            StubServer.await("it is called for", () -> calls().size() > 0);
+            StubServer.await("an endpoint receives a call", () -> calls().size() > 0);
         }
         faults.clearAll();
         awaitAllEnded();
-        assertEquals(List.of(), agent.notices, "a delivered message counts as one that may not have been");
+        assertEquals(List.of(), agent.notices, "a delivered message was reported as possibly not delivered");
     }
 
     @ParameterizedTest
     @EnumSource(names = {"ENOBUFS", "ENOMEM"})
-    void aClientIsAnsweredThoughItsSocketCouldNotBeUsedForAMoment(Errno errno) throws Exception {
+    void clientIsAnsweredAfterTemporarySocketFailure(Errno errno) throws Exception {
         for (Call call : List.of(Call.SEND, Call.RECEIVE)) {
             try (Socket client = connect()) {
                 faults.restrictToPort(sender.address().getPort());
                 faults.fail(call, errno);
                 StubServer.write(client, TestConfig.message("short-of-" + call, "safe", "hello"));
-                StubServer.await("a call fails", () -> injectedFaults(call) > 0);
+                StubServer.await("a system call fails", () -> injectedFaults(call) > 0);
                 faults.clearAll();
                 assertAccepted(client);
             }
@@ -106,7 +114,7 @@
     }
 
     @Test
-    void aClientThatReadItsAcceptanceKeepsItsMessageThoughTheWriteFailedBehindIt() throws Exception {
+    void messageOfClientThatReadAcceptanceIsKeptThoughRestOfWriteFails() throws Exception {
         String firstLine = "HTTP/1.1 202 Accepted\r\n";
         faults.restrictToPort(sender.address().getPort());
         faults.sendBytesBeforeFailure(firstLine.length());
@@ -117,73 +125,79 @@
         }
         faults.clearAll();
         awaitAllEnded();
-        assertTrue(callCount("heard") + agent.notices.size() > 0, "accepted, and never delivered nor ended");
+        assertTrue(callCount("heard") + agent.notices.size() > 0, "accepted, but neither sent nor reported as ended");
     }
 
     @Test
-    void anInterruptedReadBreaksOffNoUpgrade() throws Exception {
-        CountDownLatch taken = new CountDownLatch(1);
+    void interruptedReadDoesNotAbortUpgrade() throws Exception {
+        CountDownLatch takenOver = new CountDownLatch(1);
         script((call, socket) -> {
-            SenderFixture.awaitLatch(taken);
+            SenderFixture.awaitLatch(takenOver);
             accept(call, socket);
         });
         submit("out", "unsafe");
-        StubServer.await("it is called for", () -> callCount("out") == 1);
+        StubServer.await("a call carries the message", () -> callCount("out") == 1);
         faults.failEvery(2, Call.RECEIVE, Errno.EINTR);
         try (SenderProcess successor = sender.successor().start()) {
             successor.awaitEvent("takeover", "open=1", "calls=1");
-            taken.countDown();
-            StubServer.await("its end is passed on", () -> metricOf(successor, "in_flight") == 0);
-            assertFalse(successor.log().contains("event=predecessor-gone"), "the two processes lost each other");
-            assertFalse(sender.log().contains("failed before it owned"), "the upgrade was taken back");
+            takenOver.countDown();
+            StubServer.await("the successor learns that the message has ended",
+                    () -> metricOf(successor, "in_flight") == 0);
+            assertFalse(successor.log().contains("event=predecessor-gone"),
+                    "the connection between the two processes was lost");
+            assertFalse(sender.log().contains("failed before it owned"), "the upgrade was aborted");
             assertEquals(1, callCount("out"));
             assertEquals(List.of(), agent.notices);
         }
     }
 
     @Test
-    void anUpgradeSucceedsThoughNoSocketCouldBeMadeWhenTheNewProcessBegan() throws Exception {
+    void upgradeSucceedsThoughSuccessorCanNotCreateSocketsAtFirst() throws Exception {
         faults.fail(Call.SOCKET, Errno.ENFILE);
-        Thread mender = mendAfter(START_FAULT_MS);
+        Thread clearer = clearFaultsAfter(START_FAULT_MS);
         try (SenderProcess successor = sender.successor().start()) {
-            mender.join();
+            clearer.join();
             sender.signal("TERM");
             sender.awaitExit();
-            assertEquals("HTTP/1.1 202 Accepted", sendRequest(sender.address(), TestConfig.message("next", "safe", "hello")).line());
-            StubServer.await("it is delivered", () -> callCount("next") == 1 && metricOf(successor, "in_flight") == 0);
+            assertEquals("HTTP/1.1 202 Accepted",
+                    sendRequest(sender.address(), TestConfig.message("next", "safe", "hello")).line());
+            StubServer.await("the message is delivered",
+                    () -> callCount("next") == 1 && metricOf(successor, "in_flight") == 0);
         }
     }
 
     @Test
-    void aReloadIsHeededThoughTheConfigurationCanNotBeOpenedAtFirst() throws Exception {
-        DiscoveryAgent.Address old = agent.move();
+    void reloadSucceedsThoughConfigurationCanNotBeOpenedAtFirst() throws Exception {
+        DiscoveryAgent.Address oldAddress = agent.move();
         configure();
         faults.fail(Call.OPEN, Errno.ENFILE);
         sender.signal("HUP");
         TimeUnit.MILLISECONDS.sleep(START_FAULT_MS);
         faults.clearAll();
-        StubServer.await("it asks at the new address", () -> !agent.requests().isEmpty());
-        old.closeAfter(0);
+        StubServer.await("the sender asks the agent at its new address", () -> !agent.requests().isEmpty());
+        oldAddress.closeAfter(0);
     }
 
     // ---- accepting ----
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "ENFILE", "ENOBUFS"})
-    void aFailingAcceptHoldsUpNoDeadline(Errno errno) throws Exception {
+    void failingAcceptDelaysNoDeadline(Errno errno) throws Exception {
         script(StubServer.silent());
-        long handedIn = System.nanoTime();
-        String request = TestConfig.message("due", "brief", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BRIEF_MS);
+        long submittedAtNanos = System.nanoTime();
+        String request = TestConfig.message("due", "brief", "hello")
+                .replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + BRIEF_MS);
         assertEquals("HTTP/1.1 202 Accepted", sendRequest(sender.address(), request).line());
         TimeUnit.MILLISECONDS.sleep(BRIEF_MS - 1000);
         faults.fail(Call.ACCEPT, errno);
-        try (Socket waiting = connect()) {
+        try (Socket waitingClient = connect()) {
             StubServer.await("an accept fails", () -> injectedFaults(Call.ACCEPT) > 0);
-            StubServer.await("its notice",
-                    () -> !agent.notices.isEmpty() || elapsedMs(handedIn) > BRIEF_MS + 2 * LATEST_MS);
-            long tookMs = elapsedMs(handedIn);
+            StubServer.await("the message's notice",
+                    () -> !agent.notices.isEmpty() || elapsedMs(submittedAtNanos) > BRIEF_MS + 2 * NOTICE_TOLERANCE_MS);
+            long tookMs = elapsedMs(submittedAtNanos);
             faults.clearAll();
-            assertTrue(tookMs <= BRIEF_MS + LATEST_MS, "no end after " + tookMs + " ms of " + BRIEF_MS);
+            assertTrue(tookMs <= BRIEF_MS + NOTICE_TOLERANCE_MS,
+                    "not ended after " + tookMs + " ms, time limit " + BRIEF_MS + " ms");
         }
     }
 
@@ -201,12 +215,12 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "ENFILE", "ENOBUFS"})
-    void aClientThatWaitedForAFailingAcceptIsAnsweredInItsPatience(Errno errno) throws Exception {
+    void clientIsAnsweredInTimeAfterFailingAccept(Errno errno) throws Exception {
         faults.fail(Call.ACCEPT, errno);
         try (Socket client = connect()) {
             StubServer.write(client, TestConfig.message("waiting", "safe", "hello"));
             StubServer.await("an accept fails", () -> injectedFaults(Call.ACCEPT) > 0);
-            TimeUnit.MILLISECONDS.sleep(CLIENT_PATIENCE_MS / 4);
+            TimeUnit.MILLISECONDS.sleep(CLIENT_TIMEOUT_MS / 4);
             faults.clearAll();
             assertAccepted(client);
         }
@@ -214,9 +228,9 @@
 
     @ParameterizedTest
     @EnumSource(names = {"ECONNABORTED", "ENFILE", "ENOBUFS"})
-    void aClientThatWaitsForAFailingAcceptAtTheShutdownIsAnswered(Errno errno) throws Exception {
+    void clientIsAnsweredAfterFailingAcceptDuringShutdown(Errno errno) throws Exception {
         try (Socket kept = connect()) {
-            // Keeps the process from ending at once.
+            // Keeps the process from exiting at once after SIGTERM.
             StubServer.write(kept, TestConfig.message("kept", "safe", "hello"));
             assertAccepted(kept);
             faults.fail(Call.ACCEPT, errno);
@@ -226,15 +240,15 @@
                 client.setSoTimeout((int) Sender.SHUTDOWN_LIMIT_MS);
                 TimeUnit.MILLISECONDS.sleep(Sender.SHUTDOWN_ACCEPT_MS + 200);
                 faults.clearAll();
-                assertTrue(answer(client).startsWith("HTTP/1.1 "));
+                assertTrue(readStatusLine(client).startsWith("HTTP/1.1 "));
             }
         }
     }
 
-    // ---- what is owed meanwhile ----
+    // ---- accepted messages meanwhile ----
 
-    /** Refuses the first call and ends its connection; the next ones are accepted. */
-    private void refuseFirst() {
+    /** Makes the endpoints reject the first call and close its connection, and accept all later calls. */
+    private void rejectFirstCall() {
         script((call, socket) -> {
             script(SenderProcessFixture::accept);
             StubServer.write(socket,
@@ -243,15 +257,16 @@
         });
     }
 
-    private void isDeliveredThoughFailing(Call call, Errno errno) throws Exception {
-        refuseFirst();
+    /** Submits a message whose first call is rejected, and makes calls of this kind fail before its retry. */
+    private void assertDeliveredThoughFailing(Call call, Errno errno) throws Exception {
+        rejectFirstCall();
         submit("owed", "unsafe");
-        StubServer.await("it is called for", () -> callCount("owed") == 1);
+        StubServer.await("a call carries the message", () -> callCount("owed") == 1);
         faults.fail(call, errno);
         TimeUnit.MILLISECONDS.sleep(OUTAGE_MS);
         assertEquals(1, callCount("owed"));
         assertTrue(injectedFaults(call) > 0);
-        assertEquals(List.of(), agent.notices, "given up for a fault of the sender's own machine");
+        assertEquals(List.of(), agent.notices, "given up because of a fault on the sender's own machine");
         faults.clearAll();
         awaitAllEnded();
         assertEquals(2, callCount("owed"));
@@ -259,32 +274,32 @@
     }
 
     @Test
-    void aMessageIsNotGivenUpWhileItsCallsCanNotBeRecorded() throws Exception {
-        isDeliveredThoughFailing(Call.WRITE, Errno.ENOSPC);
+    void messageIsNotGivenUpWhileJournalCanNotBeWritten() throws Exception {
+        assertDeliveredThoughFailing(Call.WRITE, Errno.ENOSPC);
     }
 
     @ParameterizedTest
     @EnumSource(names = {"EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS"})
-    void aMessageIsNotGivenUpWhileNoConnectionCanBeMade(Errno errno) throws Exception {
-        isDeliveredThoughFailing(Call.CONNECT, errno);
+    void messageIsNotGivenUpWhileNoConnectionCanBeOpened(Errno errno) throws Exception {
+        assertDeliveredThoughFailing(Call.CONNECT, errno);
     }
 
     @Test
-    void aMessageIsNotGivenUpWhileNoSocketCanBeMade() throws Exception {
-        isDeliveredThoughFailing(Call.SOCKET, Errno.ENFILE);
+    void messageIsNotGivenUpWhileNoSocketCanBeCreated() throws Exception {
+        assertDeliveredThoughFailing(Call.SOCKET, Errno.ENFILE);
     }
 
     @Test
-    void whatEndedWhileTheDiskFailedIsNotSentAgainByTheNextProcess() throws Exception {
-        CountDownLatch failing = new CountDownLatch(1);
+    void messageEndedDuringDiskFailureIsNotSentAgainAfterRestart() throws Exception {
+        CountDownLatch diskFull = new CountDownLatch(1);
         script((call, socket) -> {
-            SenderFixture.awaitLatch(failing);
+            SenderFixture.awaitLatch(diskFull);
             accept(call, socket);
         });
         submit("delivered", "safe");
-        StubServer.await("it is called for", () -> callCount("delivered") == 1);
+        StubServer.await("a call carries the message", () -> callCount("delivered") == 1);
         faults.fillDisk();
-        failing.countDown();
+        diskFull.countDown();
         awaitAllEnded();
         sender.signal("TERM");
         TimeUnit.MILLISECONDS.sleep(OUTAGE_MS);
@@ -293,13 +308,14 @@
         sender.start();
         submit("next", "safe");
         awaitAllEnded();
-        assertEquals(1, callCount("delivered"), "sent on after its end");
+        assertEquals(1, callCount("delivered"), "sent again after its end");
     }
 
     // ---- the start of a process ----
 
-    private Thread mendAfter(long ms) {
-        Thread mender = new Thread(() -> {
+    /** Starts a thread that ends all failures after this time. */
+    private Thread clearFaultsAfter(long ms) {
+        Thread clearer = new Thread(() -> {
             try {
                 TimeUnit.MILLISECONDS.sleep(ms);
                 faults.clearAll();
@@ -307,14 +323,15 @@
                 throw new AssertionError(e);
             }
         });
-        mender.start();
-        return mender;
+        clearer.start();
+        return clearer;
     }
 
-    private void restartThoughFailing(Call call, Errno errno) throws Exception {
+    /** Kills the sender while a message is in flight, and starts it while calls of this kind fail. */
+    private void assertRestartsThoughFailing(Call call, Errno errno) throws Exception {
         script(StubServer.silent());
         submit("owed", "safe");
-        StubServer.await("it is called for", () -> callCount("owed") == 1);
+        StubServer.await("a call carries the message", () -> callCount("owed") == 1);
         script(SenderProcessFixture::accept);
         if (call == Call.TRUNCATE) {
             faults.failWritesAfter(TORN_BYTES);
@@ -323,31 +340,31 @@
         sender.kill();
         faults.clearAll();
         faults.fail(call, errno);
-        Thread mender = mendAfter(START_FAULT_MS);
+        Thread clearer = clearFaultsAfter(START_FAULT_MS);
         sender.start();
-        mender.join();
+        clearer.join();
         awaitAllEnded();
         assertTrue(injectedFaults(call) > 0);
         assertEquals(2, callCount("owed"));
     }
 
     @Test
-    void aProcessThatCanNotOpenItsFolderAtFirstStartsAllTheSame() throws Exception {
-        restartThoughFailing(Call.OPEN, Errno.ENOSPC);
+    void processStartsThoughStateFolderCanNotBeOpenedAtFirst() throws Exception {
+        assertRestartsThoughFailing(Call.OPEN, Errno.ENOSPC);
     }
 
     @Test
-    void aProcessThatCanNotWriteItsFolderAtFirstStartsAllTheSame() throws Exception {
-        restartThoughFailing(Call.WRITE, Errno.EIO);
+    void processStartsThoughStateFolderCanNotBeWrittenAtFirst() throws Exception {
+        assertRestartsThoughFailing(Call.WRITE, Errno.EIO);
     }
 
     @Test
-    void aProcessThatCanNotCutItsJournalAtFirstStartsAllTheSame() throws Exception {
-        restartThoughFailing(Call.TRUNCATE, Errno.EIO);
+    void processStartsThoughJournalCanNotBeTruncatedAtFirst() throws Exception {
+        assertRestartsThoughFailing(Call.TRUNCATE, Errno.EIO);
     }
 
     @Test
-    void aProcessThatCanMakeNoSocketAtFirstStartsAllTheSame() throws Exception {
-        restartThoughFailing(Call.SOCKET, Errno.ENFILE);
+    void processStartsThoughNoSocketCanBeCreatedAtFirst() throws Exception {
+        assertRestartsThoughFailing(Call.SOCKET, Errno.ENFILE);
     }
 }
--- a/src/test/java/starlingvalve/net/FaultProxy.java
+++ b/src/test/java/starlingvalve/net/FaultProxy.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Forwards the answers that were answersHeld back, in their order, and all later ones. */
+    /** Forwards the answers that were held back, in their order, and all later ones. */
     void releaseAnswers() {
         synchronized (answersLock) {
             answersHeld = false;
--- a/src/test/java/starlingvalve/net/FaultyDestination.java
+++ b/src/test/java/starlingvalve/net/FaultyDestination.java
@@ -67,7 +67,8 @@
         for (int i = 0; i < modes.length; i++) {
             modes[i] = switch (phase) {
                 case HEALTHY -> Mode.ACCEPTS;
-                case ONE_SLOW -> i == slowEndpoint ? pickMode(List.of(Mode.SLOW, Mode.HANGS)) : pickMode(IMMEDIATE_REJECTIONS);
+                case ONE_SLOW -> i == slowEndpoint ? pickMode(List.of(Mode.SLOW, Mode.HANGS))
+                        : pickMode(IMMEDIATE_REJECTIONS);
                 default -> pickMode(List.of(Mode.values()));
             };
         }
--- a/src/test/java/starlingvalve/net/RetryAfterProcessTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterProcessTest.java
@@ -13,14 +13,19 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A process that is held up finds a client's request, and behind it an answer that tells a wait. */
+/**
+ * A process that was suspended finds a client's request and, received after it, a response with {@code Retry-After}.
+ * Both must be read before anything is sent: a sender that dispatches the request first calls the endpoint within the
+ * time that it asked for.
+ */
 class RetryAfterProcessTest extends SenderProcessFixture {
-    private static final String ACCEPTED = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    private static final String TOLD_WAIT = "HTTP/1.1 429 x\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n";
-    private static final long WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
+    private static final String ACCEPTED_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+    private static final String RETRY_AFTER_RESPONSE =
+            "HTTP/1.1 429 x\r\nRetry-After: 0.8\r\nContent-Length: 0\r\n\r\n";
+    private static final long RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
-    /** Connections on which calls have come, in order. */
-    private final BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
+    /** The connections of calls that were received, in the order of the calls. */
+    private final BlockingQueue<Socket> callSockets = new LinkedBlockingQueue<>();
 
     @Override
     int endpointCount() {
@@ -37,45 +42,46 @@
         return 1;
     }
 
-    private Socket nextAsked() throws InterruptedException {
-        return asked.poll(30, TimeUnit.SECONDS);
+    private Socket nextCallSocket() throws InterruptedException {
+        return callSockets.poll(30, TimeUnit.SECONDS);
     }
 
-    private static void handInOn(Socket client, InputStream answers, String id) throws IOException {
+    private static void submitOn(Socket client, InputStream answers, String id) throws IOException {
         StubServer.write(client, TestConfig.message(id, "safe", "hello"));
         assertTrue(StubServer.read(answers, 0).line().contains(" 202"));
     }
 
     @Test
-    void theRequestGoesOutAfterTheWait() throws Exception {
+    void retryAfterDelaysRequestReceivedBeforeIt() throws Exception {
         sender.start();
-        script((call, socket) -> asked.add(socket));
+        script((call, socket) -> callSockets.add(socket));
         try (Socket client = new Socket(sender.address().getAddress(), sender.address().getPort())) {
             InputStream answers = new BufferedInputStream(client.getInputStream());
-            leaveTwoConnections(client, answers);
-            handInOn(client, answers, "turned-away");
-            Socket out = nextAsked();
+            openTwoEndpointConnections(client, answers);
+            submitOn(client, answers, "turned-away");
+            Socket rejectedCall = nextCallSocket();
             sender.suspend();
             StubServer.write(client, TestConfig.message("late", "safe", "hello"));
-            StubServer.write(out, TOLD_WAIT);
-            long toldAt = System.nanoTime();
+            StubServer.write(rejectedCall, RETRY_AFTER_RESPONSE);
+            long rejectedAtNanos = System.nanoTime();
             sender.signal("CONT");
-            StubServer.write(nextAsked(), ACCEPTED);
-            StubServer.write(nextAsked(), ACCEPTED);
+            StubServer.write(nextCallSocket(), ACCEPTED_RESPONSE);
+            StubServer.write(nextCallSocket(), ACCEPTED_RESPONSE);
             awaitAllEnded();
             for (StubServer.Message call : calls().subList(3, 5)) {
-                long after = call.atNanos() - toldAt;
-                assertTrue(after >= WAIT_NANOS, ids(call) + " came " + after / 1e6 + " ms after the wait was told");
+                long delayNanos = call.atNanos() - rejectedAtNanos;
+                assertTrue(delayNanos >= RETRY_AFTER_NANOS,
+                        ids(call) + " called " + delayNanos / 1e6 + " ms after Retry-After");
             }
         }
     }
 
-    /** Both are kept, so the next calls need no new ones. */
-    private void leaveTwoConnections(Socket client, InputStream answers) throws Exception {
-        handInOn(client, answers, "first");
-        handInOn(client, answers, "second");
-        for (Socket socket : List.of(nextAsked(), nextAsked())) {
-            StubServer.write(socket, ACCEPTED);
+    /** Has two calls answered on connections that are kept alive, so that the next calls need no new connections. */
+    private void openTwoEndpointConnections(Socket client, InputStream answers) throws Exception {
+        submitOn(client, answers, "first");
+        submitOn(client, answers, "second");
+        for (Socket socket : List.of(nextCallSocket(), nextCallSocket())) {
+            StubServer.write(socket, ACCEPTED_RESPONSE);
         }
         awaitAllEnded();
         assertEquals(2, calls().size());
--- a/src/test/java/starlingvalve/net/StubServer.java
+++ b/src/test/java/starlingvalve/net/StubServer.java
@@ -105,7 +105,7 @@
                 script.onRequest(request, socket);
             }
         } catch (Exception e) {
-            // The client may close its connection at any time.
+            // The client has closed its connection, or close() has interrupted the script.
         } finally {
             connectionThreads.remove(Thread.currentThread());
         }
--- a/src/test/java/starlingvalve/net/SystemFaults.java
+++ b/src/test/java/starlingvalve/net/SystemFaults.java
@@ -73,7 +73,7 @@
     private final Path library;
     private final Map<String, Long> settings = new TreeMap<>();
 
-    /** Builds the library in {@code folder}, and preloads it into each process that {@code sender} starts from now on. */
+    /** Builds the library in {@code folder} and preloads it into each process that {@code sender} starts later. */
     SystemFaults(Path folder, SenderProcess sender) throws Exception {
         this(folder);
         preload(sender);
@@ -163,8 +163,8 @@
     }
 
     /**
-     * Lets this many more bytes be written to the journal and then makes all writes fail. The journal can't be truncated
-     * either, so a torn record stays at its end.
+     * Lets this many more bytes be written to the journal and then makes all writes fail. Truncating the journal fails
+     * too, so a torn record stays at its end.
      */
     void failWritesAfter(int bytes) throws IOException {
         settings.put("write-room", (long) bytes);
--- a/src/test/resources/system-faults.c
+++ b/src/test/resources/system-faults.c
@@ -1,26 +1,27 @@
 /*
- * Preloaded into a sender by tests: steps its wall clock, and fails its system calls.
+ * A library that tests preload into a sender to step its wall clock and to make its system calls fail.
  *
- * The file that FAULTS_CONTROL names holds lines "name value" that count from the next call on:
+ * The environment variable FAULTS_CONTROL names a file of lines "name value", which apply from the next call on:
  *   clock-ms N          the wall clock is N ms ahead of the machine's
  *   write-errno N       writes to the journal fail with this errno
- *   write-room N        with write-errno: so many bytes are written before the first failure
- *   truncate-errno N    so does cutting the journal
- *   open-errno N        no file of the state folder can be opened, nor the configuration
- *   rename-errno N      no file of the state folder can be renamed
- *   socket-errno N      no socket can be made, and nothing else that waits for sockets
- *   connect-errno N     no connection can be made
- *   accept-errno N      no connection can be accepted
- *   wait-errno N        waits for sockets end early
+ *   write-room N        with write-errno: this many bytes are written to the journal before the first failure
+ *   truncate-errno N    truncating the journal fails with this errno
+ *   open-errno N        opening a file of the state folder or the configuration fails
+ *   rename-errno N      renaming a file of the state folder fails
+ *   socket-errno N      creating a socket, an epoll descriptor or an event descriptor fails
+ *   connect-errno N     opening a connection fails
+ *   accept-errno N      accepting a connection fails
+ *   wait-errno N        waiting for events of sockets (epoll_wait) fails
  *   receive-errno N     reads from sockets fail
- *   receive-most N      they return so many bytes at most
+ *   receive-most N      a read from a socket returns at most this many bytes
  *   send-errno N        writes to TCP sockets fail
- *   send-most N         they take so many bytes at most
- *   send-room N         with send-errno: so many bytes are written to each socket before its first failure
- *   port N              receive and send faults concern only sockets with this port on one of their ends
- *   CALL-every N        only each Nth call fails, where CALL is any of those above; the first one does
+ *   send-most N         a write to a socket transfers at most this many bytes
+ *   send-room N         with send-errno: this many bytes are written to each socket before its first failure
+ *   port N              receive and send faults apply only to sockets with this port at either end
+ *   CALL-every N        of calls that would fail only the first and every Nth after it do; CALL is any word before -errno
  *
- * FAULTS_MET names a file of one 64-bit counter for each kind of fault, in the order of enum fault.
+ * The environment variable FAULTS_MET names a file with one 64-bit counter of injected failures for each kind of
+ * fault, in the order of enum fault.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -56,41 +57,44 @@
     long write_room, receive_most, send_most, send_room, port;
 };
 
-#define MOST_SETTINGS 8
-#define MOST_DESCRIPTORS 65536
-
-/* A ring, so that a call which reads settings while others are loaded still sees whole ones. */
-static struct settings loaded[MOST_SETTINGS];
-static volatile int newest;
-static pthread_mutex_t loading = PTHREAD_MUTEX_INITIALIZER;
-static struct stat loaded_from;
-static uint64_t calls[FAULTS];
-static long journal_room_used;
-static long sent[MOST_DESCRIPTORS];
-
+#define RING_SIZE 8
+#define MAX_DESCRIPTORS 65536
+
+/* A ring of settings, so that a call that still reads settings while new ones are loaded sees consistent values. */
+static struct settings settings_ring[RING_SIZE];
+static volatile int newest_index;
+static pthread_mutex_t load_lock = PTHREAD_MUTEX_INITIALIZER;
+static struct stat loaded_file;
+/* Calls of each kind since the fault was set. */
+static uint64_t call_counts[FAULTS];
+static long journal_bytes_written;
+/* Bytes written to each socket while send faults were set, by descriptor. */
+static long bytes_sent[MAX_DESCRIPTORS];
+
+/* Declares the pointer "real" to the function of this name that the library replaces. */
 #define REAL(name) \
     static __typeof__(name) *real; \
     if (!real) { \
         real = (__typeof__(name) *) dlsym(RTLD_NEXT, #name); \
     }
 
-static void apply(struct settings *s, const char *key, long value) {
-    if (strcmp(key, "clock-ms") == 0) s->clock_ms = value;
-    else if (strcmp(key, "write-room") == 0) s->write_room = value;
-    else if (strcmp(key, "receive-most") == 0) s->receive_most = value;
-    else if (strcmp(key, "send-most") == 0) s->send_most = value;
-    else if (strcmp(key, "send-room") == 0) s->send_room = value;
-    else if (strcmp(key, "port") == 0) s->port = value;
+static void apply_setting(struct settings *settings, const char *key, long value) {
+    if (strcmp(key, "clock-ms") == 0) settings->clock_ms = value;
+    else if (strcmp(key, "write-room") == 0) settings->write_room = value;
+    else if (strcmp(key, "receive-most") == 0) settings->receive_most = value;
+    else if (strcmp(key, "send-most") == 0) settings->send_most = value;
+    else if (strcmp(key, "send-room") == 0) settings->send_room = value;
+    else if (strcmp(key, "port") == 0) settings->port = value;
     for (int i = 0; i < FAULTS; i++) {
         size_t length = strlen(fault_names[i]);
         if (strncmp(key, fault_names[i], length) == 0) {
-            if (strcmp(key + length, "-errno") == 0) s->error[i] = value;
-            if (strcmp(key + length, "-every") == 0) s->every[i] = value;
+            if (strcmp(key + length, "-errno") == 0) settings->error[i] = value;
+            if (strcmp(key + length, "-every") == 0) settings->every[i] = value;
         }
     }
 }
 
-static void load(const char *path) {
+static void load_settings(const char *path) {
     char text[4096];
     int fd = (int) syscall(SYS_openat, AT_FDCWD, path, O_RDONLY | O_CLOEXEC);
     if (fd < 0) {
@@ -102,37 +106,38 @@
         return;
     }
     text[length] = 0;
-    int next = (newest + 1) % MOST_SETTINGS;
-    memset(&loaded[next], 0, sizeof loaded[next]);
+    int next = (newest_index + 1) % RING_SIZE;
+    memset(&settings_ring[next], 0, sizeof settings_ring[next]);
     char *rest = text;
     for (char *line = strsep(&rest, "\n"); line; line = strsep(&rest, "\n")) {
         char key[64];
         long value;
         if (sscanf(line, "%63s %ld", key, &value) == 2) {
-            apply(&loaded[next], key, value);
+            apply_setting(&settings_ring[next], key, value);
         }
     }
-    newest = next;
+    newest_index = next;
 }
 
-/* The settings as they are now. */
-static const struct settings *now(void) {
+/* Returns the current settings, and loads them first if the file has changed. */
+static const struct settings *current_settings(void) {
     const char *path = getenv("FAULTS_CONTROL");
     int saved = errno;
     struct stat file;
     if (path && fstatat(AT_FDCWD, path, &file, 0) == 0
-            && (file.st_ino != loaded_from.st_ino || file.st_mtim.tv_nsec != loaded_from.st_mtim.tv_nsec
-                || file.st_mtim.tv_sec != loaded_from.st_mtim.tv_sec)) {
-        pthread_mutex_lock(&loading);
-        load(path);
-        loaded_from = file;
-        pthread_mutex_unlock(&loading);
+            && (file.st_ino != loaded_file.st_ino || file.st_mtim.tv_nsec != loaded_file.st_mtim.tv_nsec
+                || file.st_mtim.tv_sec != loaded_file.st_mtim.tv_sec)) {
+        pthread_mutex_lock(&load_lock);
+        load_settings(path);
+        loaded_file = file;
+        pthread_mutex_unlock(&load_lock);
     }
     errno = saved;
-    return &loaded[newest];
+    return &settings_ring[newest_index];
 }
 
-static void met(enum fault fault) {
+/* Adds a failure to the counter in the file that FAULTS_MET names. */
+static void count_failure(enum fault fault) {
     static uint64_t *counters;
     if (!counters) {
         const char *path = getenv("FAULTS_MET");
@@ -150,19 +155,19 @@
     __atomic_add_fetch(&counters[fault], 1, __ATOMIC_RELAXED);
 }
 
-/* Whether this call fails; errno is set if so. */
-static int fails(enum fault fault) {
-    const struct settings *s = now();
-    if (s->error[fault] == 0) {
-        calls[fault] = 0;
+/* Returns whether this call is to fail, in which case errno is set and the failure is counted. */
+static int should_fail(enum fault fault) {
+    const struct settings *settings = current_settings();
+    if (settings->error[fault] == 0) {
+        call_counts[fault] = 0;
         return 0;
     }
-    uint64_t call = __atomic_fetch_add(&calls[fault], 1, __ATOMIC_RELAXED);
-    if (s->every[fault] > 1 && call % (uint64_t) s->every[fault] != 0) {
+    uint64_t call = __atomic_fetch_add(&call_counts[fault], 1, __ATOMIC_RELAXED);
+    if (settings->every[fault] > 1 && call % (uint64_t) settings->every[fault] != 0) {
         return 0;
     }
-    met(fault);
-    errno = (int) s->error[fault];
+    count_failure(fault);
+    errno = (int) settings->error[fault];
     return 1;
 }
 
@@ -192,31 +197,31 @@
     return is_in_state(path) && strstr(path, "/journal") != NULL;
 }
 
-/* How many bytes of a write to the journal go through; -1 with errno set if it fails. */
-static ssize_t journal_allows(size_t count) {
-    const struct settings *s = now();
-    if (s->error[WRITE] == 0) {
-        journal_room_used = 0;
+/* Returns how many bytes of a write to the journal are written, or -1 with errno set if it fails. */
+static ssize_t journal_write_allowance(size_t count) {
+    const struct settings *settings = current_settings();
+    if (settings->error[WRITE] == 0) {
+        journal_bytes_written = 0;
         return (ssize_t) count;
     }
-    long room = s->write_room - journal_room_used;
+    long room = settings->write_room - journal_bytes_written;
     if (room <= 0) {
-        return fails(WRITE) ? -1 : (ssize_t) count;
+        return should_fail(WRITE) ? -1 : (ssize_t) count;
     }
     ssize_t part = (long) count < room ? (ssize_t) count : (ssize_t) room;
-    journal_room_used += part;
+    journal_bytes_written += part;
     return part;
 }
 
 ssize_t pwrite64(int fd, const void *bytes, size_t count, off64_t offset) {
     REAL(pwrite64)
-    ssize_t part = is_journal(fd) ? journal_allows(count) : (ssize_t) count;
+    ssize_t part = is_journal(fd) ? journal_write_allowance(count) : (ssize_t) count;
     return part < 0 ? -1 : real(fd, bytes, (size_t) part, offset);
 }
 
 int ftruncate64(int fd, off64_t length) {
     REAL(ftruncate64)
-    return is_journal(fd) && fails(TRUNCATE) ? -1 : real(fd, length);
+    return is_journal(fd) && should_fail(TRUNCATE) ? -1 : real(fd, length);
 }
 
 int open64(const char *path, int flags, ...) {
@@ -225,85 +230,91 @@
     va_start(rest, flags);
     mode_t mode = va_arg(rest, mode_t);
     va_end(rest);
-    return (is_in_state(path) || is_config(path)) && fails(OPEN) ? -1 : real(path, flags, mode);
+    return (is_in_state(path) || is_config(path)) && should_fail(OPEN) ? -1 : real(path, flags, mode);
 }
 
 int rename(const char *from, const char *to) {
     REAL(rename)
-    return is_in_state(to) && fails(RENAME) ? -1 : real(from, to);
+    return is_in_state(to) && should_fail(RENAME) ? -1 : real(from, to);
 }
 
 // ---- sockets ----
 
+/* Returns the port of an IP address, 0 for a Unix socket and -1 for any other address. */
 static int port_of(const struct sockaddr_in *address) {
     return address->sin_family == AF_INET ? ntohs(address->sin_port)
             : address->sin_family == AF_INET6 ? ntohs(((const struct sockaddr_in6 *) address)->sin6_port)
             : address->sin_family == AF_UNIX ? 0 : -1;
 }
 
-/* Whether this is a socket that faults concern; one of two processes of a sender has no port. */
-static int is_concerned(int fd) {
-    const struct settings *s = now();
+/*
+ * Returns whether receive and send faults apply to this socket. The Unix socket between two processes of a sender has
+ * port 0 here, so it is affected only if no port is set.
+ */
+static int is_affected(int fd) {
+    const struct settings *settings = current_settings();
     int saved = errno;
-    struct sockaddr_un here, there;
-    socklen_t here_length = sizeof here, there_length = sizeof there;
-    int concerned = getsockname(fd, (struct sockaddr *) &here, &here_length) == 0
-            && getpeername(fd, (struct sockaddr *) &there, &there_length) == 0
-            && port_of((struct sockaddr_in *) &here) >= 0
-            && (s->port == 0 || port_of((struct sockaddr_in *) &here) == s->port
-                || port_of((struct sockaddr_in *) &there) == s->port);
+    struct sockaddr_un local, remote;
+    socklen_t local_length = sizeof local, remote_length = sizeof remote;
+    int affected = getsockname(fd, (struct sockaddr *) &local, &local_length) == 0
+            && getpeername(fd, (struct sockaddr *) &remote, &remote_length) == 0
+            && port_of((struct sockaddr_in *) &local) >= 0
+            && (settings->port == 0 || port_of((struct sockaddr_in *) &local) == settings->port
+                || port_of((struct sockaddr_in *) &remote) == settings->port);
     errno = saved;
-    return concerned;
+    return affected;
 }
 
-static int may_receive_fail(void) {
-    const struct settings *s = now();
-    return s->error[RECEIVE] != 0 || s->receive_most != 0;
+static int has_receive_faults(void) {
+    const struct settings *settings = current_settings();
+    return settings->error[RECEIVE] != 0 || settings->receive_most != 0;
 }
 
-static int may_send_fail(void) {
-    const struct settings *s = now();
-    return s->error[SEND] != 0 || s->send_most != 0;
+static int has_send_faults(void) {
+    const struct settings *settings = current_settings();
+    return settings->error[SEND] != 0 || settings->send_most != 0;
 }
 
-static ssize_t receive_allows(size_t count) {
-    long most = now()->receive_most;
-    if (fails(RECEIVE)) {
+/* Returns how many bytes a read may transfer, or -1 with errno set if it fails. */
+static ssize_t receive_allowance(size_t count) {
+    long limit = current_settings()->receive_most;
+    if (should_fail(RECEIVE)) {
         return -1;
     }
-    return most > 0 && (size_t) most < count ? most : (ssize_t) count;
+    return limit > 0 && (size_t) limit < count ? limit : (ssize_t) count;
 }
 
 static int is_tcp(int fd) {
-    struct sockaddr_un here;
-    socklen_t length = sizeof here;
-    return getsockname(fd, (struct sockaddr *) &here, &length) == 0 && port_of((struct sockaddr_in *) &here) > 0;
+    struct sockaddr_un local;
+    socklen_t length = sizeof local;
+    return getsockname(fd, (struct sockaddr *) &local, &length) == 0 && port_of((struct sockaddr_in *) &local) > 0;
 }
 
-static ssize_t send_allows(int fd, size_t count) {
-    const struct settings *s = now();
-    size_t most = s->send_most > 0 ? (size_t) s->send_most : count;
-    if (s->error[SEND] != 0 && is_tcp(fd)) {
-        long room = fd < MOST_DESCRIPTORS ? s->send_room - sent[fd] : 0;
+/* Returns how many bytes a write may transfer, or -1 with errno set if it fails. */
+static ssize_t send_allowance(int fd, size_t count) {
+    const struct settings *settings = current_settings();
+    size_t limit = settings->send_most > 0 ? (size_t) settings->send_most : count;
+    if (settings->error[SEND] != 0 && is_tcp(fd)) {
+        long room = fd < MAX_DESCRIPTORS ? settings->send_room - bytes_sent[fd] : 0;
         if (room <= 0) {
-            if (fails(SEND)) {
+            if (should_fail(SEND)) {
                 return -1;
             }
-        } else if ((size_t) room < most) {
-            most = (size_t) room;
+        } else if ((size_t) room < limit) {
+            limit = (size_t) room;
         }
     }
-    size_t part = most < count ? most : count;
-    if (fd < MOST_DESCRIPTORS) {
-        sent[fd] += (long) part;
+    size_t part = limit < count ? limit : count;
+    if (fd < MAX_DESCRIPTORS) {
+        bytes_sent[fd] += (long) part;
     }
     return (ssize_t) part;
 }
 
 ssize_t read(int fd, void *bytes, size_t count) {
     REAL(read)
-    if (may_receive_fail() && is_concerned(fd)) {
-        ssize_t part = receive_allows(count);
+    if (has_receive_faults() && is_affected(fd)) {
+        ssize_t part = receive_allowance(count);
         return part < 0 ? -1 : real(fd, bytes, (size_t) part);
     }
     return real(fd, bytes, count);
@@ -311,8 +322,8 @@
 
 ssize_t readv(int fd, const struct iovec *parts, int count) {
     REAL(readv)
-    if (may_receive_fail() && is_concerned(fd) && count > 0) {
-        ssize_t part = receive_allows(parts[0].iov_len);
+    if (has_receive_faults() && is_affected(fd) && count > 0) {
+        ssize_t part = receive_allowance(parts[0].iov_len);
         struct iovec first = {parts[0].iov_base, (size_t) part};
         return part < 0 ? -1 : real(fd, &first, 1);
     }
@@ -321,8 +332,8 @@
 
 ssize_t write(int fd, const void *bytes, size_t count) {
     REAL(write)
-    if (may_send_fail() && is_concerned(fd)) {
-        ssize_t part = send_allows(fd, count);
+    if (has_send_faults() && is_affected(fd)) {
+        ssize_t part = send_allowance(fd, count);
         return part < 0 ? -1 : real(fd, bytes, (size_t) part);
     }
     return real(fd, bytes, count);
@@ -330,8 +341,8 @@
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev)
-    if (may_send_fail() && is_concerned(fd) && count > 0) {
-        ssize_t part = send_allows(fd, parts[0].iov_len);
+    if (has_send_faults() && is_affected(fd) && count > 0) {
+        ssize_t part = send_allowance(fd, parts[0].iov_len);
         struct iovec first = {parts[0].iov_base, (size_t) part};
         return part < 0 ? -1 : real(fd, &first, 1);
     }
@@ -340,40 +351,40 @@
 
 int socket(int domain, int type, int protocol) {
     REAL(socket)
-    int fd = fails(SOCKET) ? -1 : real(domain, type, protocol);
-    if (fd >= 0 && fd < MOST_DESCRIPTORS) {
-        sent[fd] = 0;
+    int fd = should_fail(SOCKET) ? -1 : real(domain, type, protocol);
+    if (fd >= 0 && fd < MAX_DESCRIPTORS) {
+        bytes_sent[fd] = 0;
     }
     return fd;
 }
 
 int epoll_create1(int flags) {
     REAL(epoll_create1)
-    return fails(SOCKET) ? -1 : real(flags);
+    return should_fail(SOCKET) ? -1 : real(flags);
 }
 
 int eventfd(unsigned int value, int flags) {
     REAL(eventfd)
-    return fails(SOCKET) ? -1 : real(value, flags);
+    return should_fail(SOCKET) ? -1 : real(value, flags);
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(accept)
-    int accepted = fails(ACCEPT) ? -1 : real(fd, address, length);
-    if (accepted >= 0 && accepted < MOST_DESCRIPTORS) {
-        sent[accepted] = 0;
+    int accepted = should_fail(ACCEPT) ? -1 : real(fd, address, length);
+    if (accepted >= 0 && accepted < MAX_DESCRIPTORS) {
+        bytes_sent[accepted] = 0;
     }
     return accepted;
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect)
-    return fails(CONNECT) ? -1 : real(fd, address, length);
+    return should_fail(CONNECT) ? -1 : real(fd, address, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int limit, int timeout) {
     REAL(epoll_wait)
-    return fails(WAIT) ? -1 : real(fd, events, most, timeout);
+    return should_fail(WAIT) ? -1 : real(fd, events, limit, timeout);
 }
 
 // ---- the clock ----
@@ -382,7 +393,7 @@
     REAL(clock_gettime)
     int result = real(clock, time);
     if (result == 0 && clock == CLOCK_REALTIME) {
-        long ms = now()->clock_ms;
+        long ms = current_settings()->clock_ms;
         time->tv_sec += ms / 1000;
         time->tv_nsec += ms % 1000 * 1000000;
         if (time->tv_nsec < 0) {
