--- a/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
+++ b/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
@@ -197,7 +197,7 @@
             long tookMs = elapsedMs(submittedAtNanos);
             faults.clearAll();
             assertTrue(tookMs <= BRIEF_MS + NOTICE_TOLERANCE_MS,
-                    "not ended after " + tookMs + " ms, time limit " + BRIEF_MS + " ms");
+                    "not ended after " + tookMs + " ms, time limit in ms: " + BRIEF_MS);
         }
     }
 
@@ -291,15 +291,15 @@
 
     @Test
     void messageEndedDuringDiskFailureIsNotSentAgainAfterRestart() throws Exception {
-        CountDownLatch diskFull = new CountDownLatch(1);
+        CountDownLatch failuresBegun = new CountDownLatch(1);
         script((call, socket) -> {
-            SenderFixture.awaitLatch(diskFull);
+            SenderFixture.awaitLatch(failuresBegun);
             accept(call, socket);
         });
         submit("delivered", "safe");
         StubServer.await("a call carries the message", () -> callCount("delivered") == 1);
         faults.fillDisk();
-        diskFull.countDown();
+        failuresBegun.countDown();
         awaitAllEnded();
         sender.signal("TERM");
         TimeUnit.MILLISECONDS.sleep(OUTAGE_MS);
--- a/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
+++ b/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
@@ -37,15 +37,15 @@
 
     @Test
     void messageDeliveredDuringDiskFailureIsNotSentAgainAfterKill() throws Exception {
-        CountDownLatch diskFull = new CountDownLatch(1);
+        CountDownLatch failuresBegun = new CountDownLatch(1);
         script((call, socket) -> {
-            SenderFixture.awaitLatch(diskFull);
+            SenderFixture.awaitLatch(failuresBegun);
             accept(call, socket);
         });
         submit("delivered", "safe");
         StubServer.await("a call carries the message", () -> callCount("delivered") == 1);
         faults.fillDisk();
-        diskFull.countDown();
+        failuresBegun.countDown();
         awaitAllEnded();
         assertEquals("503", submissionStatus("unrecorded", "safe"), "a message that can't be journalled is rejected");
         faults.clearDiskFaults();
@@ -126,6 +126,6 @@
         StubServer.await("the message's notice", () -> !agent.notices.isEmpty());
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedAtNanos);
         assertTrue(tookMs <= BRIEF_MS + NOTICE_TOLERANCE_MS,
-                "ended after " + tookMs + " ms, time limit " + BRIEF_MS + " ms");
+                "ended after " + tookMs + " ms, time limit in ms: " + BRIEF_MS);
     }
 }
--- a/src/test/resources/system-faults.c
+++ b/src/test/resources/system-faults.c
@@ -18,7 +18,7 @@
  *   send-most N         a write to a socket transfers at most this many bytes
  *   send-room N         with send-errno: this many bytes are written to each socket before its first failure
  *   port N              receive and send faults apply only to sockets with this port at either end
- *   CALL-every N        of calls that would fail only the first and every Nth after it do; CALL is any word before -errno
+ *   CALL-every N        only the first of these calls and every Nth after it fail; CALL is a word before -errno
  *
  * The environment variable FAULTS_MET names a file with one 64-bit counter of injected failures for each kind of
  * fault, in the order of enum fault.
