--- a/src/test/java/starlingvalve/net/FaultyDestination.java
+++ b/src/test/java/starlingvalve/net/FaultyDestination.java
@@ -7,7 +7,7 @@
 
 /** A destination of a soak test, whose endpoints change their behaviour from time to time. */
 final class FaultyDestination {
-    /** The behaviour of an endpoint towards a call. */
+    /** The behaviour of an endpoint towards a call; it refuses with 503 and throttles with 429 and Retry-After. */
     enum Mode { ACCEPTS, REFUSES, THROTTLES, FAILS, SLOW, HANGS, RESETS }
 
     /** The behaviour of all endpoints of a destination for a period. */
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Returns the current behaviour of an endpoint towards a call. {@code healthyPercent} is the probability of a
-     * healthy phase each time a new phase begins.
+     * Returns the current behaviour of an endpoint towards a call. {@code healthyPercent} is the probability, in
+     * percent, that a new phase is a healthy one.
      */
     synchronized Mode mode(int endpoint, int healthyPercent) {
         if (faultsEnded.getAsBoolean()) {
--- a/src/test/java/starlingvalve/net/RetryAfterProcessTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterProcessTest.java
@@ -15,8 +15,8 @@
 
 /**
  * A process that was suspended finds a client's request and, received after it, a response with {@code Retry-After}.
- * Both must be read before anything is sent: a sender that dispatches the request first calls the endpoint within the
- * time that it asked for.
+ * Both must be read before anything is sent: a sender that dispatches the request first calls the endpoint before the
+ * requested delay has passed.
  */
 class RetryAfterProcessTest extends SenderProcessFixture {
     private static final String ACCEPTED_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
--- a/src/test/java/starlingvalve/net/SystemFaults.java
+++ b/src/test/java/starlingvalve/net/SystemFaults.java
@@ -34,7 +34,7 @@
         SOCKET,
         CONNECT,
         ACCEPT,
-        /** Waits for sockets. */
+        /** Waits for events of sockets. */
         WAIT,
         /** Reads from a socket. */
         RECEIVE,
