--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -230,7 +230,7 @@
             if (number == 1) {
                 StubServer.write(socket, answer(list(1, "before")));
             } else if (number <= 1 + errorStatuses) {
-                StubServer.status(503, "").come(request, socket);
+                StubServer.status(503, "").onRequest(request, socket);
             } else if (number == 2 + errorStatuses) {
                 recoveredNanos.set(System.nanoTime());
                 recovered.set(true);
--- a/src/test/java/starlingvalve/net/CombinedSoakTest.java
+++ b/src/test/java/starlingvalve/net/CombinedSoakTest.java
@@ -105,7 +105,7 @@
             case ACCEPTS -> accept(caller, processRunOfCall, call, socket, draw(random, 20));
             case SLOW -> accept(caller, processRunOfCall, call, socket, 200 + draw(random, 800));
             case REFUSES -> refuse(ids, socket, REFUSAL_DELAY_MS, "503 x\r\n");
-            case TELLS_WAIT -> refuse(ids, socket, 0, "429 x\r\nRetry-After: 0." + (1 + draw(random, 5)) + "\r\n");
+            case THROTTLES -> refuse(ids, socket, 0, "429 x\r\nRetry-After: 0." + (1 + draw(random, 5)) + "\r\n");
             case FAILS -> surplus.write(socket, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
             case RESETS -> {
                 socket.setSoLinger(true, 0);
--- a/src/test/java/starlingvalve/net/CrowdTest.java
+++ b/src/test/java/starlingvalve/net/CrowdTest.java
@@ -60,7 +60,7 @@
     private void start(int limit) throws Exception {
         Path config = new TestConfig(discovery.agent.hostPort()).sockets(limit).diskMb(DISK_MB)
                 .known(TestConfig.list(discovery.endpoint)).write(folder);
-        sender = new SenderProcess(folder, config).descriptors(limit).start();
+        sender = new SenderProcess(folder, config).descriptorLimit(limit).start();
     }
 
     /** Connects more clients, each of which sends a request and keeps its connection; some may be closed unread. */
@@ -106,7 +106,7 @@
     }
 
     private long journalInode() throws IOException {
-        return (long) Files.getAttribute(sender.state().resolve("journal"), "unix:ino");
+        return (long) Files.getAttribute(sender.stateFolder().resolve("journal"), "unix:ino");
     }
 
     /** Submits a message and waits until an endpoint has received it. */
--- a/src/test/java/starlingvalve/net/DiscoveryAgent.java
+++ b/src/test/java/starlingvalve/net/DiscoveryAgent.java
@@ -113,7 +113,7 @@
         void closeAfter(long ms) {
             Thread closer = new Thread(() -> {
                 try {
-                    stub.refuse();
+                    stub.stopAccepting();
                     TimeUnit.MILLISECONDS.sleep(ms);
                     stub.close();
                 } catch (IOException | InterruptedException e) {
--- a/src/test/java/starlingvalve/net/EndedMessageProcessTest.java
+++ b/src/test/java/starlingvalve/net/EndedMessageProcessTest.java
@@ -21,7 +21,7 @@
     private final List<FaultProxy> proxies = new ArrayList<>();
 
     @Override
-    String listed(StubServer endpoint) throws IOException {
+    String listedAddress(StubServer endpoint) throws IOException {
         FaultProxy proxy = new FaultProxy(endpoint.address());
         proxies.add(proxy);
         return proxy.hostPort();
@@ -41,10 +41,10 @@
     private void answerBothAfterOneHasLeft(String effectOfTheOther) throws Exception {
         sender.start();
         proxies.forEach(FaultProxy::holdAnswers);
-        handIn("opener", "unsafe");
-        StubServer.await("the only worker is busy", () -> callsWith("opener") == 1);
-        handIn("leaving", "hasty");
-        handIn("waiting", effectOfTheOther);
+        submit("opener", "unsafe");
+        StubServer.await("the only worker is busy", () -> callCount("opener") == 1);
+        submit("leaving", "hasty");
+        submit("waiting", effectOfTheOther);
         script((call, socket) -> {
             proxies.forEach(FaultProxy::holdAnswers);
             accept(call, socket);
@@ -62,8 +62,8 @@
     @ValueSource(strings = {"safe", "keyed", "unsafe"})
     void acceptedMessageEndsAlthoughAnotherMessageHasLeftItsCall(String effect) throws Exception {
         answerBothAfterOneHasLeft(effect);
-        assertEquals(1, callsWith("waiting"), "sent again after its end");
-        int served = Stream.of("hasty", "safe", "keyed", "unsafe").mapToInt(name -> figure("served." + name)).sum();
+        assertEquals(1, callCount("waiting"), "sent again after its end");
+        int served = Stream.of("hasty", "safe", "keyed", "unsafe").mapToInt(name -> metric("served." + name)).sum();
         assertEquals(3, served, "both count as delivered, as the opener does");
         assertBothConfirmedOnce();
     }
@@ -71,7 +71,7 @@
     @Test
     void acceptedMessageEndsAlthoughItHasLeftItsCallItself() throws Exception {
         answerBothAfterOneHasLeft("safe");
-        assertEquals(1, callsWith("leaving"), "sent again after its end");
+        assertEquals(1, callCount("leaving"), "sent again after its end");
         assertBothConfirmedOnce();
     }
 
@@ -81,7 +81,7 @@
      */
     private void assertBothConfirmedOnce() throws Exception {
         StubServer.await("both are confirmed", () -> agent.notices.size() >= 2);
-        handIn("last", "safe");
+        submit("last", "safe");
         awaitAllEnded();
         assertEquals(Set.of("{\"ref\":\"leaving\",\"result\":\"dead\"}", "{\"ref\":\"waiting\",\"result\":\"dead\"}"),
                 Set.copyOf(agent.notices));
--- a/src/test/java/starlingvalve/net/FaultSoakTest.java
+++ b/src/test/java/starlingvalve/net/FaultSoakTest.java
@@ -57,7 +57,7 @@
     }
 
     @Override
-    void noticesHeard(List<String> lines) {
+    void noticesAcknowledged(List<String> lines) {
         long nowNanos = System.nanoTime();
         lines.forEach(line -> history(line.replaceAll(".*\"ref\":\"([^\"]+)\".*", "$1"))
                 .add(nowNanos, Kind.NOTICE_ACKNOWLEDGED));
@@ -181,13 +181,13 @@
                 }
             }
             case 1 -> {
-                faults.diskFull();
+                faults.fillDisk();
                 TimeUnit.MILLISECONDS.sleep(200 + random.nextInt(800));
-                faults.diskMended();
+                faults.clearDiskFaults();
                 // A kill before all ends are on the disk would lose them, which no program can prevent.
                 TimeUnit.MILLISECONDS.sleep(500);
             }
-            case 2 -> faults.clockAhead((random.nextBoolean() ? 1 : -1) * (long) random.nextInt(7_200_000));
+            case 2 -> faults.setClockOffset((random.nextBoolean() ? 1 : -1) * (long) random.nextInt(7_200_000));
             default -> TimeUnit.MILLISECONDS.sleep(random.nextInt(500));
         }
     }
--- a/src/test/java/starlingvalve/net/ListSoakTest.java
+++ b/src/test/java/starlingvalve/net/ListSoakTest.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    void noticesHeard(List<String> lines) {
+    void noticesAcknowledged(List<String> lines) {
         lines.forEach(line -> ended.add(line.replaceAll(".*\"ref\":\"([^\"]+)\".*", "$1")));
     }
 
@@ -286,7 +286,7 @@
                 "too few messages or drains for a meaningful run");
         List<String> violations = drainChecker.violations(stalls::nanosWithin);
         if (!violations.isEmpty()) {
-            System.out.println(drainChecker.timeline() + "\n" + sender.logs());
+            System.out.println(drainChecker.timeline() + "\n" + sender.allLogs());
         }
         assertEquals(List.of(), violations, "seed " + seed);
         StubServer.await("each accepted message ends", () -> ended.containsAll(accepted));
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -179,7 +179,7 @@
                     nextFreeNanos[0] = System.nanoTime() + 100_000_000;
                 }
             }
-            StubServer.status(accepted ? 200 : 429, accepted ? "" : "Retry-After: 0.1\r\n").come(request, socket);
+            StubServer.status(accepted ? 200 : 429, accepted ? "" : "Retry-After: 0.1\r\n").onRequest(request, socket);
         });
     }
 
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -171,7 +171,7 @@
         Map<Call, Long> failed = new EnumMap<>(Call.class);
         for (SoakNode node : nodes) {
             for (Call call : Call.values()) {
-                failed.merge(call, node.systemFaults.met(call), Long::sum);
+                failed.merge(call, node.systemFaults.injectedFaults(call), Long::sum);
             }
         }
         return failed;
@@ -211,9 +211,9 @@
     private SenderProcess newProcess() throws Exception {
         Path processFolder = Files.createDirectories(folder.resolve("process-" + processes.size()));
         SenderProcess process = new SenderProcess(processFolder, configure())
-                .with("GW_STATE", folder.resolve("state").toString()).with("TMPDIR", folder.toString())
-                .with("GW_NAME", "n" + number).with("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
-                .with("GW_OPS", "127.0.0.1:0");
+                .withEnvironment("GW_STATE", folder.resolve("state").toString()).withEnvironment("TMPDIR", folder.toString())
+                .withEnvironment("GW_NAME", "n" + number).withEnvironment("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
+                .withEnvironment("GW_OPS", "127.0.0.1:0");
         systemFaults.preload(process);
         processes.add(process);
         note("process " + (processes.size() - 1) + " starts");
@@ -236,7 +236,7 @@
 
     private static boolean serves(SenderProcess process) {
         try {
-            return SenderProcessFixture.ask(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
+            return SenderProcessFixture.sendRequest(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
                     .line().contains(" 200 ");
         } catch (IOException | RuntimeException e) {
             return false;
@@ -373,7 +373,7 @@
         try {
             inject(fault, systemFaults);
             TimeUnit.MILLISECONDS.sleep(50 + draw(MAX_EXTRA_FAULT_MS));
-            systemFaults.mendAll();
+            systemFaults.clearAll();
             if (losesEnds) {
                 TimeUnit.MILLISECONDS.sleep(ENDS_SETTLE_MS);
             }
@@ -394,9 +394,9 @@
                 faults.failEvery(2 + draw(3), Call.RECEIVE, Errno.EINTR);
                 faults.failEvery(2, Call.WAIT, Errno.EINTR);
             }
-            case SHORT_TRANSFERS -> faults.shortTransfers(1 + draw(60));
+            case SHORT_TRANSFERS -> faults.limitTransfers(1 + draw(60));
             case BROKEN_READS -> {
-                faults.onlyAtPort(agent.address().getPort());
+                faults.restrictToPort(agent.address().getPort());
                 faults.failEvery(3, Call.RECEIVE, drawAny(List.of(Errno.ETIMEDOUT, Errno.EHOSTUNREACH)));
             }
             case NO_BUFFERS -> {
@@ -404,14 +404,14 @@
                 // Only some reads fail: the sender learns of no end from an answer that it can't read at all.
                 faults.failEvery(2 + draw(3), Call.RECEIVE, Errno.ENOMEM);
             }
-            case DISK_FULL -> faults.diskFull();
+            case DISK_FULL -> faults.fillDisk();
             case DISK_FAILS -> faults.fail(Call.WRITE, Errno.EIO);
-            case DISK_TEARS -> faults.diskTears(draw(200));
+            case DISK_TEARS -> faults.failWritesAfter(draw(200));
             case NO_FILES -> {
                 faults.fail(Call.OPEN, drawAny(List.of(Errno.ENOSPC, Errno.EIO)));
                 faults.fail(Call.RENAME, Errno.EIO);
             }
-            default -> faults.clockAhead((draw(2) == 0 ? 1 : -1) * (long) draw(7_200_000));
+            default -> faults.setClockOffset((draw(2) == 0 ? 1 : -1) * (long) draw(7_200_000));
         }
     }
 
@@ -461,7 +461,7 @@
 
     /** Ends all faults of the machine. */
     void endMachineFaults() throws IOException {
-        systemFaults.mendAll();
+        systemFaults.clearAll();
     }
 
     // ---- clients ----
--- a/src/test/java/starlingvalve/net/UpgradeProcessTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeProcessTest.java
@@ -32,14 +32,14 @@
 
     private void submitOrdered(String id) throws IOException {
         String request = TestConfig.message(id, "ordered", "hello").replace("/ordered", "/ordered?thread=one");
-        assertEquals("202", ask(sender.address(), request).line().split(" ")[1]);
+        assertEquals("202", sendRequest(sender.address(), request).line().split(" ")[1]);
     }
 
     @Test
     void messagesAcceptedAfterOneWhoseHedgeEndedFirstAreDeliveredBySuccessor() throws Exception {
         script((call, socket) -> {
             String id = ids(call).get(0);
-            if (id.equals("hedged") && callsWith(id) == 2) {
+            if (id.equals("hedged") && callCount(id) == 2) {
                 StubServer.write(socket, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
             } else {
                 answers.await();
@@ -47,17 +47,17 @@
             }
         });
         sender.start();
-        handIn("hedged", "hedged");
+        submit("hedged", "hedged");
         sender.awaitEvent("attempt-ended", "id=hedged", "attempt=1", "outcome=FULL");
         submitOrdered("first");
-        StubServer.await("the first message of the ordering key is in flight", () -> callsWith("first") == 1);
+        StubServer.await("the first message of the ordering key is in flight", () -> callCount("first") == 1);
         submitOrdered("second");
         successor = sender.successor().start();
         successor.awaitEvent("takeover", "open=3", "calls=2");
         sender.signal("TERM");
         answers.countDown();
-        sender.awaitEnd();
-        StubServer.await("the second message of the ordering key is delivered", () -> callsWith("second") == 1);
+        sender.awaitExit();
+        StubServer.await("the second message of the ordering key is delivered", () -> callCount("second") == 1);
         sender = successor;
         awaitAllEnded();
     }
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -142,11 +142,11 @@
     /** Starts the next process of the sender, which logs to a folder of its own, and waits until it serves. */
     private SenderProcess newProcess() throws Exception {
         SenderProcess process = new SenderProcess(folder.resolve("process-" + processes.size()), config)
-                .with("GW_STATE", folder.resolve("state").toString())
-                .with("TMPDIR", folder.toString())
-                .with("GW_NAME", "n0")
-                .with("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
-                .with("GW_OPS", "127.0.0.1:0");
+                .withEnvironment("GW_STATE", folder.resolve("state").toString())
+                .withEnvironment("TMPDIR", folder.toString())
+                .withEnvironment("GW_NAME", "n0")
+                .withEnvironment("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
+                .withEnvironment("GW_OPS", "127.0.0.1:0");
         processes.add(process);
         noteProcessEvent("process " + (processes.size() - 1) + " started");
         process.start();
@@ -159,7 +159,7 @@
 
     private static boolean serves(SenderProcess process) {
         try {
-            return SenderProcessFixture.ask(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
+            return SenderProcessFixture.sendRequest(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
                     .line().contains(" 200 ");
         } catch (IOException e) {
             return false;
@@ -215,7 +215,7 @@
                 case ACCEPTS -> accept(call, ids, socket, draw(20));
                 case SLOW -> accept(call, ids, socket, 200 + draw(800));
                 case REFUSES -> answer(socket, ids, REFUSAL_DELAY_MS, "503 x\r\n");
-                case TELLS_WAIT -> answer(socket, ids, 0, "429 x\r\nRetry-After: 0." + (1 + draw(5)) + "\r\n");
+                case THROTTLES -> answer(socket, ids, 0, "429 x\r\nRetry-After: 0." + (1 + draw(5)) + "\r\n");
                 case FAILS -> answer(socket, ids, draw(50), "500 x\r\n");
                 case RESETS -> {
                     socket.setSoLinger(true, 0);
