--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -258,12 +258,12 @@
     }
 
     @Override
-    public void setMaintenance(double now, long endpointId, boolean out) {
+    public void setMaintenance(double now, long endpointId, boolean maintenance) {
         advanceClock(now);
-        boolean changed = out ? inMaintenance.add(endpointId) : inMaintenance.remove(endpointId);
+        boolean changed = maintenance ? inMaintenance.add(endpointId) : inMaintenance.remove(endpointId);
         EndpointState endpoint = endpointsById.get(endpointId);
         if (changed && endpoint != null) {
-            endpoint.setInMaintenance(out);
+            endpoint.setInMaintenance(maintenance);
         }
     }
 
@@ -670,14 +670,14 @@
         boolean unacknowledged; // ended by an answer that is not acknowledged; its key waits until it is
         boolean expedited; // recovered, unattempted, and now due ahead of the pacing rate
 
-        Delivery(Message message, double at) {
+        Delivery(Message message, double now) {
             if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
                 throw new IllegalArgumentException("unknown class " + message.messageClass());
             }
             this.message = message;
             this.type = settings.classes().get(message.messageClass());
             this.destination = destinations.computeIfAbsent(message.destination(), id -> new Destination());
-            this.deadline = at + message.timeLeftMs();
+            this.deadline = now + message.timeLeftMs();
             this.latencyTargetAt = deadline - type.deadlineMs() + type.latencyTargetMs();
         }
 
@@ -774,7 +774,7 @@
         boolean overdue;
 
         Call(EndpointState endpoint) {
-            this(endpoint, clock, turn, idleConnections.take(endpoint));
+            this(endpoint, clock, turn, idleConnections.idleMsForCall(endpoint));
             endpoint.lastUsedAt = clock;
         }
 
@@ -980,11 +980,11 @@
         }
 
         private double minRate() {
-            double own = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
+            double usualMinimum = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
             double unlisted = listedRate > 0 ? 0
                     : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, intervalGrowths));
             return Math.max(unlisted,
-                    own / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
+                    usualMinimum / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
         }
 
         /** Number of endpoints that share this limit. */
@@ -1089,10 +1089,10 @@
         }
 
         /** An endpoint in maintenance is restarted: it comes back cold, with a probe that goes first. */
-        void setInMaintenance(boolean out) {
-            inMaintenance = out;
+        void setInMaintenance(boolean maintenance) {
+            inMaintenance = maintenance;
             actions.closeIdle(entry.id());
-            if (!out) {
+            if (!maintenance) {
                 failureScore = 0;
                 failures = 0;
                 silentCalls = 0;
@@ -1291,7 +1291,7 @@
         private boolean confirmed;
 
         /** Idle time of the connection that a new call uses: 0 if it is new, or not idle. */
-        double take(EndpointState endpoint) {
+        double idleMsForCall(EndpointState endpoint) {
             double idleMs = endpoint.callsInFlight > 0 ? 0 : clock - endpoint.lastUsedAt;
             if (clock > lastLossAt + LOSS_MEMORY_MS) {
                 suspect = Optional.empty();
--- a/src/main/java/starlingvalve/Rate.java
+++ b/src/main/java/starlingvalve/Rate.java
@@ -46,9 +46,9 @@
 
     private void advance() {
         double now = clock.getAsDouble();
-        double kept = Math.exp((updatedAt - now) / periodMs);
-        events *= kept;
-        observedMs = observedMs * kept + periodMs * (1 - kept);
+        double retainedShare = Math.exp((updatedAt - now) / periodMs);
+        events *= retainedShare;
+        observedMs = observedMs * retainedShare + periodMs * (1 - retainedShare);
         updatedAt = now;
     }
 }
--- a/src/main/java/starlingvalve/RecentEvents.java
+++ b/src/main/java/starlingvalve/RecentEvents.java
@@ -23,9 +23,9 @@
     }
 
     /** Replaces the events by a count from elsewhere, as if all of them had occurred at the given time. */
-    void restore(int count, double at) {
+    void restore(int count, double time) {
         times.clear();
-        times.addAll(Collections.nCopies(count, at));
+        times.addAll(Collections.nCopies(count, time));
     }
 
     /** Number of events within the period that ends now. */
--- a/src/main/java/starlingvalve/Throttle.java
+++ b/src/main/java/starlingvalve/Throttle.java
@@ -52,8 +52,8 @@
     }
 
     /** Restores the number of extra sends that another process made in the period before the given time. */
-    void restore(int count, double at) {
-        extraSends.restore(count, at);
-        wakeAfterPeriod(at);
+    void restore(int count, double time) {
+        extraSends.restore(count, time);
+        wakeAfterPeriod(time);
     }
 }
--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -106,7 +106,7 @@
     }
 
     /** Passes the current list to the listener. An empty list is passed only if it comes from discovery. */
-    void tell() {
+    void publishList() {
         if (answered() || !list.isEmpty()) {
             list.notifyListener();
         }
--- a/src/main/java/starlingvalve/net/EndpointList.java
+++ b/src/main/java/starlingvalve/net/EndpointList.java
@@ -44,10 +44,10 @@
      * @param kind the machine type
      * @param destination the number of the cell
      * @param serving whether the endpoint takes new work
-     * @param gone whether the endpoint is deleted
+     * @param deleted whether the endpoint is deleted
      */
     record Entry(String id, InetSocketAddress address, String zone, String kind, long destination,
-                 boolean serving, boolean gone, double weight) {
+                 boolean serving, boolean deleted, double weight) {
     }
 
     /** Receives each new list and the changes to it. */
--- a/src/main/java/starlingvalve/net/EndpointRegistry.java
+++ b/src/main/java/starlingvalve/net/EndpointRegistry.java
@@ -52,7 +52,7 @@
     }
 
     /** Records that the list contains an endpoint, or, with {@code removed}, that it no longer does. */
-    void list(long number, long destination, boolean removed) {
+    void recordEntry(long number, long destination, boolean removed) {
         destinations.add(destination);
         if (removed) {
             listed.remove(number);
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -75,7 +75,7 @@
         }
 
         /** Called right before the first byte of a call is written; returns whether the call may be written. */
-        boolean begins(Call call);
+        boolean callStarting(Call call);
 
         /**
          * Called once for each call, when it has ended.
@@ -105,7 +105,7 @@
         void messageEndedAfterCall(Call call, boolean delivered);
 
         /** The exchange of a call has ended; only for a call that ended while its exchange was open. */
-        void closed(Call call);
+        void exchangeEnded(Call call);
 
         /**
          * A connection to an endpoint has closed.
@@ -228,9 +228,9 @@
      * Creates a call that the next {@link #flush} starts; {@link Callbacks#ended} reports its end once, within the
      * time-out or soon after.
      */
-    Call call(AcceptedMessage held, int attempt, long endpoint, double timeoutMs) {
+    Call call(AcceptedMessage message, int attempt, long endpoint, double timeoutMs) {
         Peer peer = peers.get(endpoint);
-        Call call = new Call(held, attempt, timeoutMs);
+        Call call = new Call(message, attempt, timeoutMs);
         if (peer.pendingExchange == null || !peer.pendingExchange.hasRoom(call)) {
             peer.pendingExchange = new Exchange(peer);
             pendingExchanges.add(peer.pendingExchange);
@@ -370,7 +370,7 @@
 
     /** One attempt to deliver a message: its part in an exchange. */
     final class Call {
-        final AcceptedMessage held;
+        final AcceptedMessage message;
         final int attempt;
         final long startedNanos = System.nanoTime();
         private final double timeoutMs;
@@ -378,17 +378,17 @@
         private Exchange exchange;
         /** Its outcome is decided and will be reported, or was. */
         private boolean outcomeDecided;
-        /** {@link Callbacks#begins} has recorded that its first byte may have been sent. */
+        /** {@link Callbacks#callStarting} has recorded that its first byte may have been sent. */
         private boolean begun;
         /** No longer waited for: it has timed out, is cancelled, or was withheld. */
         private boolean abandoned;
-        /** Its end was reported while its exchange was in flight; {@link Callbacks#closed} is still to be called. */
+        /** Its end was reported while its exchange was in flight; {@link Callbacks#exchangeEnded} is still to be called. */
         private boolean endedWhileOpen;
         /** Set when the outcome is decided. */
         private AttemptReport report;
 
-        private Call(AcceptedMessage held, int attempt, double timeoutMs) {
-            this.held = held;
+        private Call(AcceptedMessage message, int attempt, double timeoutMs) {
+            this.message = message;
             this.attempt = attempt;
             this.timeoutMs = timeoutMs;
             this.timer = AfterPendingReads.schedule(loop, (long) Math.ceil(timeoutMs * 1000), TimeUnit.MICROSECONDS,
@@ -405,9 +405,9 @@
             return Math.max(1, (long) (timeoutMs - (System.nanoTime() - startedNanos) / 1e6));
         }
 
-        /** Whether its first byte may be written; asks {@link Callbacks#begins} until that has allowed it once. */
+        /** Whether its first byte may be written; asks {@link Callbacks#callStarting} until that has allowed it once. */
         private boolean mayBegin() {
-            begun = begun || callbacks.begins(this);
+            begun = begun || callbacks.callStarting(this);
             return begun;
         }
 
@@ -448,8 +448,8 @@
          * before: a message that has ended must not be sent again.
          */
         private void answered(AttemptOutcomes.Result result, double retryAfterMs) {
-            if (result.endsMessage() && !held.endReceived) {
-                held.endReceived = true;
+            if (result.endsMessage() && !message.endReceived) {
+                message.endReceived = true;
                 if (outcomeDecided) {
                     boolean delivered = result.outcome() == Outcome.DELIVERED;
                     loop.execute(() -> callbacks.messageEndedAfterCall(this, delivered));
@@ -508,13 +508,13 @@
         }
 
         private boolean hasRoom(Call call) {
-            return calls.size() < peer.batch && bodyBytes + EndpointRequests.batchSize(call.held) <= MAX_BODY_BYTES;
+            return calls.size() < peer.batch && bodyBytes + EndpointRequests.batchSize(call.message) <= MAX_BODY_BYTES;
         }
 
         private void add(Call call) {
             call.exchange = this;
             calls.add(call);
-            bodyBytes += EndpointRequests.batchSize(call.held);
+            bodyBytes += EndpointRequests.batchSize(call.message);
         }
 
         /** Writes the request to an idle connection, waits for one to become reusable, or opens a new one. */
@@ -590,7 +590,7 @@
 
         /** Writes the request, without the calls that may not be sent any more. */
         private void write(Connection target) {
-            abandonUnless(call -> !call.held.endReceived && call.mayBegin());
+            abandonUnless(call -> !call.message.endReceived && call.mayBegin());
             if (dropAbandonedCalls()) {
                 target.keepIdle();
             } else if (inputBarrier.isInputRecent()) {
@@ -617,8 +617,8 @@
 
         private FullHttpRequest request() {
             long longestRemainingMs = calls.stream().mapToLong(Call::remainingMs).max().orElseThrow();
-            return calls.size() == 1 ? EndpointRequests.single(peer.address, calls.get(0).held, longestRemainingMs)
-                    : EndpointRequests.batch(peer.address, calls.stream().map(call -> call.held).toList(),
+            return calls.size() == 1 ? EndpointRequests.single(peer.address, calls.get(0).message, longestRemainingMs)
+                    : EndpointRequests.batch(peer.address, calls.stream().map(call -> call.message).toList(),
                             longestRemainingMs);
         }
 
@@ -665,7 +665,7 @@
             for (Call call : calls) {
                 if (call.endedWhileOpen) {
                     call.endedWhileOpen = false;
-                    loop.execute(() -> callbacks.closed(call));
+                    loop.execute(() -> callbacks.exchangeEnded(call));
                 }
             }
         }
@@ -737,7 +737,7 @@
          * this request.
          */
         private boolean provesOutcome(BatchAnswer answer) {
-            List<String> ids = calls.stream().map(call -> call.held.id).toList();
+            List<String> ids = calls.stream().map(call -> call.message.id).toList();
             return isReadWhole() && (surplus.isEmpty() ? answer.namesAny(ids) : answer.isWhole(ids));
         }
 
@@ -754,7 +754,7 @@
             BatchAnswer answer = new BatchAnswer(body.toString(StandardCharsets.ISO_8859_1));
             proven = isBatchReport ? provesOutcome(answer) : provesOutcome();
             if (isBatchReport && proven) {
-                calls.forEach(call -> call.answered(AttemptOutcomes.reported(answer.word(call.held.id)), retryAfterMs));
+                calls.forEach(call -> call.answered(AttemptOutcomes.reported(answer.word(call.message.id)), retryAfterMs));
             } else {
                 AttemptOutcomes.Result result =
                         AttemptOutcomes.answered(scanner.status(), proven, refusal, calls.size());
--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -45,7 +45,7 @@
         void unfreeze() throws IOException;
 
         /** The successor owns the journal; events that still occur in this process are forwarded to it. */
-        void left();
+        void handedOver();
 
         /** The successor cancels an attempt whose call is in flight in this process. */
         void cancel(long message, int attempt);
@@ -159,7 +159,7 @@
     }
 
     /** Whether the handover is complete: the successor owns the journal. */
-    boolean left() {
+    boolean isHandedOver() {
         return phase == Phase.LEFT;
     }
 
@@ -169,7 +169,7 @@
     }
 
     /** Forwards an event to the successor. If the successor fails before it owns, the local action runs instead. */
-    void tell(ObjectNode line, Runnable localAction) {
+    void forward(ObjectNode line, Runnable localAction) {
         if (phase == Phase.LEAVING || phase == Phase.RETURNING) {
             localActions.add(localAction);
         }
@@ -182,13 +182,13 @@
      * Sends a request to the successor. The callback receives its reply, or a missing node if the successor has ended.
      * If the successor fails before it owns the journal, the local action runs instead of the callback.
      */
-    void ask(ObjectNode line, Consumer<JsonNode> callback, Runnable localAction) {
+    void forwardRequest(ObjectNode line, Consumer<JsonNode> callback, Runnable localAction) {
         if (connection == null && phase == Phase.LEFT) {
             callback.accept(HandoverConnection.JSON.missingNode());
             return;
         }
         unanswered.put(++requestCount, callback);
-        tell(line.put("n", requestCount), localAction);
+        forward(line.put("n", requestCount), localAction);
     }
 
     private void received(HandoverConnection from, JsonNode node) {
@@ -200,7 +200,7 @@
         } else if (kind.equals("own") && phase == Phase.LEAVING) {
             phase = Phase.LEFT;
             localActions.clear();
-            callbacks.left();
+            callbacks.handedOver();
         } else if (kind.equals("declined")) {
             returnOwnership();
         } else if (kind.equals("cancel")) {
--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -115,7 +115,7 @@
     }
 
     /** Returns all messages that have not ended or whose notice is not acknowledged yet, in the order of acceptance. */
-    Collection<AcceptedMessage> held() {
+    Collection<AcceptedMessage> liveMessages() {
         return new ArrayList<>(liveMessages.values());
     }
 
@@ -140,7 +140,7 @@
      * Records that the attempt's first byte is about to be written: from now on the attempt counts as one that may have
      * run. If this throws, the attempt must not be made.
      */
-    void begins(AcceptedMessage message, int attempt) throws IOException {
+    void attemptStarting(AcceptedMessage message, int attempt) throws IOException {
         AcceptedMessage.Attempt started = message.attempts.get(attempt);
         if (attempt < message.journalledAttempts) {
             append(message, JournalRecord.attemptMark(JournalRecord.ATTEMPT_STARTED, message, attempt));
@@ -177,21 +177,21 @@
     }
 
     /** Records that the message has ended with a notice, which is not acknowledged yet. */
-    void owed(AcceptedMessage message, AcceptedMessage.Notice notice) {
-        owed(message, notice, FinishedMessage.endedByNotice(message, notice));
+    void noticePending(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        noticePending(message, notice, FinishedMessage.endedByNotice(message, notice));
     }
 
     /** Records that the message was delivered, which a notice that is not acknowledged yet confirms. */
     void endConfirmationPending(AcceptedMessage message) {
-        owed(message, AcceptedMessage.Notice.CONFIRMATION,
+        noticePending(message, AcceptedMessage.Notice.CONFIRMATION,
                 FinishedMessage.endedByAnswer(message, FinishedMessage.Result.DELIVERED));
     }
 
-    private void owed(AcceptedMessage message, AcceptedMessage.Notice notice, FinishedMessage end) {
+    private void noticePending(AcceptedMessage message, AcceptedMessage.Notice notice, FinishedMessage end) {
         message.pendingNotice = Optional.of(notice);
         addFinished(end);
         ByteArrayOutputStream records = new ByteArrayOutputStream();
-        records.writeBytes(JournalRecord.owed(message, notice));
+        records.writeBytes(JournalRecord.noticePending(message, notice));
         records.writeBytes(JournalRecord.finished(end));
         appendOrDefer(message, records.toByteArray());
     }
@@ -422,7 +422,7 @@
                 bytes.write(JournalRecord.attempt(message, attempt, !attempt.neverRan));
             }
             if (message.pendingNotice.isPresent()) {
-                bytes.write(JournalRecord.owed(message, message.pendingNotice.get()));
+                bytes.write(JournalRecord.noticePending(message, message.pendingNotice.get()));
             }
         }
         // After the notices, which alone don't tell whether their messages were delivered.
@@ -513,7 +513,7 @@
             }
             case JournalRecord.ATTEMPT_STARTED, JournalRecord.NEVER_RAN ->
                     message.attempts.get(in.readInt()).neverRan = type == JournalRecord.NEVER_RAN;
-            case JournalRecord.NOTICE_OWED -> {
+            case JournalRecord.NOTICE_PENDING -> {
                 message.pendingNotice = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
                 message.ended = true;
                 addFinishedBeforeClock(FinishedMessage.endedByNotice(message, message.pendingNotice.get()));
--- a/src/main/java/starlingvalve/net/JournalRecord.java
+++ b/src/main/java/starlingvalve/net/JournalRecord.java
@@ -19,7 +19,7 @@
     /** An attempt that has a record already never ran. */
     static final int NEVER_RAN = 3;
     /** A message has ended with a notice, which is not acknowledged yet. */
-    static final int NOTICE_OWED = 4;
+    static final int NOTICE_PENDING = 4;
     /** A message needs nothing more. */
     static final int ENDED = 5;
     /** Operators drain this sender, or end the drain. */
@@ -82,8 +82,8 @@
         return record(type, message.number, out -> out.writeInt(attempt));
     }
 
-    static byte[] owed(AcceptedMessage message, AcceptedMessage.Notice notice) {
-        return record(NOTICE_OWED, message.number, out -> {
+    static byte[] noticePending(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        return record(NOTICE_PENDING, message.number, out -> {
             out.writeBoolean(notice.bounced());
             out.writeDouble(notice.waitMs());
         });
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -23,7 +23,7 @@
 
 /**
  * Sends the platform a notice of each message that was accepted and not delivered, oldest first, several in one
- * request. Each notice is repeated until the platform has acknowledged it. The number of owed notices is bounded by the
+ * request. Each notice is repeated until the platform has acknowledged it. The number of pending notices is bounded by the
  * journal, which holds each message whose notice is not acknowledged yet.
  */
 final class NoticeClient {
@@ -40,7 +40,7 @@
     private final EventLog events = EventLog.shared();
     private final ObjectMapper json = JsonMapper.builder().build();
     /** Messages whose notices are not acknowledged yet, oldest first. */
-    private final Deque<AcceptedMessage> owed = new ArrayDeque<>();
+    private final Deque<AcceptedMessage> pendingNotices = new ArrayDeque<>();
     /** Messages whose notices this process still has to send once while a successor process takes over. */
     private final Deque<AcceptedMessage> toSendOnce = new ArrayDeque<>();
     /** A request is in flight, or the next one is scheduled. */
@@ -64,17 +64,17 @@
      * the {@code acknowledged} callback.
      */
     void enqueue(AcceptedMessage message) {
-        owed.add(message);
-        sendOwed();
+        pendingNotices.add(message);
+        sendPending();
     }
 
     /**
-     * Leaves the owed notices to the successor process, which sends them and receives the acknowledgements. Since it
-     * has yet to start, this process sends each notice owed by now once more.
+     * Leaves the pending notices to the successor process, which sends them and receives the acknowledgements. Since it
+     * has yet to start, this process sends each notice pending by now once more.
      */
     void pause() {
         paused = true;
-        toSendOnce.addAll(owed);
+        toSendOnce.addAll(pendingNotices);
         startSendingOnce();
     }
 
@@ -94,16 +94,16 @@
         }
     }
 
-    /** Called when the successor process has failed: this process sends all owed notices again. */
+    /** Called when the successor process has failed: this process sends all pending notices again. */
     void resume() {
         paused = false;
         toSendOnce.clear();
-        sendOwed();
+        sendPending();
     }
 
-    /** Schedules the owed notices, unless paused or a request is in flight already. */
-    private void sendOwed() {
-        if (!sending && !paused && !owed.isEmpty()) {
+    /** Schedules the pending notices, unless paused or a request is in flight already. */
+    private void sendPending() {
+        if (!sending && !paused && !pendingNotices.isEmpty()) {
             sending = true;
             // After the current turn, so that one request contains the notices of all messages that end in the turn.
             loop.execute(this::sendNotices);
@@ -116,13 +116,13 @@
     }
 
     /** The number of notices that are not acknowledged yet. */
-    int owed() {
-        return owed.size();
+    int pendingNotices() {
+        return pendingNotices.size();
     }
 
     /** Sends one request with the first waiting notices. */
     private void sendNotices() {
-        Deque<AcceptedMessage> queue = paused ? toSendOnce : owed;
+        Deque<AcceptedMessage> queue = paused ? toSendOnce : pendingNotices;
         if (queue.isEmpty()) {
             sending = false;
             return;
@@ -153,7 +153,7 @@
             sendNotices();
         } else {
             sending = false;
-            sendOwed();
+            sendPending();
         }
     }
 
@@ -181,15 +181,15 @@
         singleNotice = unreadable && reported.size() > 1;
         if (status == 204 || unreadable && reported.size() == 1) {
             // New messages are added at the end, so the reported ones are still the first.
-            reported.forEach(message -> owed.remove());
+            reported.forEach(message -> pendingNotices.remove());
             reported.forEach(message -> FaultIsolation.run(() -> acknowledged.accept(message)));
         }
-        if (owed.isEmpty()) {
+        if (pendingNotices.isEmpty()) {
             sending = false;
         } else if (status == 204 || unreadable) {
             sendNotices();
         } else {
-            events.add("notice-failed", "status", status, "notices", reported.size(), "owed", owed.size(), "here",
+            events.add("notice-failed", "status", status, "notices", reported.size(), "owed", pendingNotices.size(), "here",
                     agent.failedLocally());
             loop.schedule(this::sendNotices, RETRY_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/starlingvalve/net/PredecessorCalls.java
+++ b/src/main/java/starlingvalve/net/PredecessorCalls.java
@@ -25,17 +25,17 @@
     private final Map<Long, Integer> openCalls = new HashMap<>();
 
     /** Adds a message that came with the handover. */
-    void held(AcceptedMessage message) {
+    void addMessage(AcceptedMessage message) {
         messages.put(message.number, message);
     }
 
     /** Returns a message that came with the handover, by number. */
-    Optional<AcceptedMessage> held(long message) {
+    Optional<AcceptedMessage> findMessage(long message) {
         return Optional.ofNullable(messages.get(message));
     }
 
     /** Adds an attempt that is in flight in the predecessor. */
-    void out(AttemptId attempt) {
+    void addAttempt(AttemptId attempt) {
         inFlight.add(attempt);
     }
 
@@ -47,23 +47,23 @@
      * Removes an attempt that has ended, and returns whether it was in flight. {@code open} means that its call is
      * still in flight for other messages.
      */
-    boolean ended(AttemptId attempt, boolean open) {
+    boolean attemptEnded(AttemptId attempt, boolean open) {
         boolean known = inFlight.remove(attempt);
         if (known && open) {
-            openCalls(attempt.message(), 1);
+            addOpenCalls(attempt.message(), 1);
         }
         return known;
     }
 
     /** Adds calls that are still in flight for other messages than this one, whose attempts in them have ended. */
-    void openCalls(long message, int count) {
+    void addOpenCalls(long message, int count) {
         if (count > 0) {
             openCalls.merge(message, count, Integer::sum);
         }
     }
 
     /** Removes one open call of a message, which has ended for all messages; returns whether there was one. */
-    boolean closed(long message) {
+    boolean callClosed(long message) {
         boolean known = openCalls.containsKey(message);
         openCalls.computeIfPresent(message, (number, count) -> count > 1 ? count - 1 : null);
         return known;
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -271,7 +271,7 @@
         }
         ownsJournal = true;
         ready = snapshot.isPresent();
-        discovery.tell();
+        discovery.publishList();
         if (snapshot.isPresent()) {
             restorePredecessorState(state.get(), snapshot.get());
         }
@@ -344,16 +344,16 @@
         Set<Long> inSnapshot = new HashSet<>();
         for (DeliveryPolicy.MessageSnapshot message : snapshot.messages()) {
             inSnapshot.add(message.message().id());
-            predecessorCalls.openCalls(message.message().id(), message.openCalls());
+            predecessorCalls.addOpenCalls(message.message().id(), message.openCalls());
             for (int i = 0; i < message.attempts().size(); i++) {
                 if (message.attempts().get(i).out()) {
-                    predecessorCalls.out(new AttemptId(message.message().id(), i));
+                    predecessorCalls.addAttempt(new AttemptId(message.message().id(), i));
                 }
             }
         }
         Predicate<AcceptedMessage> acknowledged = acknowledgedByClients(state, inSnapshot);
-        for (AcceptedMessage accepted : journal.held()) {
-            predecessorCalls.held(accepted);
+        for (AcceptedMessage accepted : journal.liveMessages()) {
+            predecessorCalls.addMessage(accepted);
             if (accepted.ended) {
                 notices.enqueue(accepted);
             } else {
@@ -388,7 +388,7 @@
     private void reconcile(double ageMs) {
         Set<Long> inPolicy = policy.openMessages();
         events.add("takeover", "age_ms", Math.round(ageMs), "open", openMessages.size(), "module", inPolicy.size(),
-                "calls", predecessorCalls.size(), "notices", notices.owed());
+                "calls", predecessorCalls.size(), "notices", notices.pendingNotices());
         long steadyNowMs = journal.clock().nowMs();
         for (AcceptedMessage accepted : openMessages.all()) {
             if (accepted.acceptanceAcknowledged && !inPolicy.contains(accepted.number)) {
@@ -436,7 +436,7 @@
      */
     private void replayJournal() {
         long steadyNowMs = journal.clock().nowMs();
-        for (AcceptedMessage accepted : journal.held()) {
+        for (AcceptedMessage accepted : journal.liveMessages()) {
             if (accepted.ended) {
                 replayNotice(accepted, steadyNowMs);
             } else {
@@ -639,7 +639,7 @@
         if (call != null) {
             endpoints.cancel(call);
         } else if (predecessorCalls.isInFlight(new AttemptId(message, attempt))) {
-            takeover.tell(HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
+            takeover.sendToPredecessor(HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
         }
     }
 
@@ -680,7 +680,7 @@
         markEnded(accepted, notice.bounced() ? Stats.End.REFUSED : Stats.End.FAILED);
         events.add("notice-owed", "id", accepted.id, "class", accepted.messageClass, "bounced", notice.bounced(),
                 "attempts", accepted.attempts.size(), "left_ms", accepted.deadlineMs - journal.clock().nowMs());
-        journal.owed(accepted, notice);
+        journal.noticePending(accepted, notice);
         notices.enqueue(accepted);
     }
 
@@ -690,7 +690,7 @@
     private final class EndpointCallbacks implements Endpoints.Callbacks {
         @Override
         public boolean mayBeginAttempt(Endpoints.Call call) {
-            return policy.mayBeginAttempt(now(), call.held.number, call.attempt);
+            return policy.mayBeginAttempt(now(), call.message.number, call.attempt);
         }
 
         @Override
@@ -707,21 +707,21 @@
          * established when the process was killed certainly has not run.
          */
         @Override
-        public boolean begins(Endpoints.Call call) {
-            if (!rules.maySend(call.held, call.attempt)) {
+        public boolean callStarting(Endpoints.Call call) {
+            if (!rules.maySend(call.message, call.attempt)) {
                 return false;
             }
             try {
-                journal.begins(call.held, call.attempt);
+                journal.attemptStarting(call.message, call.attempt);
             } catch (IOException e) {
                 // An attempt that is not recorded could be repeated after a restart, and so run twice.
                 Log.line("an attempt is not made, since the journal can't record it: " + e.getMessage());
                 return false;
             }
-            unattempted.called(call.held.number);
+            unattempted.called(call.message.number);
             if (call.attempt > 0) {
-                events.add("retry", "id", call.held.id, "attempt", call.attempt, "endpoint",
-                        call.held.attempts.get(call.attempt).endpoint);
+                events.add("retry", "id", call.message.id, "attempt", call.attempt, "endpoint",
+                        call.message.attempts.get(call.attempt).endpoint);
             }
             return true;
         }
@@ -729,20 +729,20 @@
         @Override
         public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded, double waitMs,
                 boolean callOpen) {
-            callsInFlight.remove(new AttemptId(call.held.number, call.attempt));
+            callsInFlight.remove(new AttemptId(call.message.number, call.attempt));
             double tookMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (outcome != DeliveryPolicy.Outcome.DELIVERED) {
                 logUndelivered(call, outcome, messageEnded, waitMs, tookMs);
             }
             boolean needsConfirmation = call.report().wasPartlyAbandoned();
-            Runnable localAction = () -> attemptEnded(call.held, call.attempt, outcome, messageEnded,
+            Runnable localAction = () -> attemptEnded(call.message, call.attempt, outcome, messageEnded,
                     needsConfirmation, waitMs, tookMs, callOpen);
             if (handover.isForwarding()) {
-                ObjectNode line = HandoverConnection.line("ended").put("message", call.held.number)
+                ObjectNode line = HandoverConnection.line("ended").put("message", call.message.number)
                         .put("attempt", call.attempt).put("outcome", outcome.name()).put("gone", messageEnded)
                         .put("confirm", needsConfirmation).put("waitMs", waitMs).put("tookMs", tookMs)
                         .put("open", callOpen);
-                handover.tell(line, localAction);
+                handover.forward(line, localAction);
             } else {
                 localAction.run();
             }
@@ -750,11 +750,11 @@
 
         @Override
         public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-            events.add("over-after-end", "id", call.held.id, "attempt", call.attempt, "endpoint",
-                    call.held.attempts.get(call.attempt).endpoint, "delivered", delivered);
-            Runnable localAction = () -> Sender.this.endByLateAnswer(call.held, delivered);
+            events.add("over-after-end", "id", call.message.id, "attempt", call.attempt, "endpoint",
+                    call.message.attempts.get(call.attempt).endpoint, "delivered", delivered);
+            Runnable localAction = () -> Sender.this.endByLateAnswer(call.message, delivered);
             if (handover.isForwarding()) {
-                handover.tell(HandoverConnection.line("over").put("message", call.held.number)
+                handover.forward(HandoverConnection.line("over").put("message", call.message.number)
                         .put("delivered", delivered), localAction);
             } else {
                 localAction.run();
@@ -764,11 +764,11 @@
         private void logUndelivered(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded,
                 double waitMs, double tookMs) {
             AttemptReport report = call.report();
-            events.add("attempt-ended", "id", call.held.id, "attempt", call.attempt, "endpoint",
-                    call.held.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
+            events.add("attempt-ended", "id", call.message.id, "attempt", call.attempt, "endpoint",
+                    call.message.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
                     "status", report.status(), "messages", report.messages(), "left", report.left(), "over",
                     messageEnded, "wait_ms", Math.round(waitMs), "took_ms", Math.round(tookMs), "list",
-                    call.held.attempts.get(call.attempt).listGeneration);
+                    call.message.attempts.get(call.attempt).listGeneration);
         }
 
         @Override
@@ -783,7 +783,7 @@
         public void retryAfterReceived(long endpoint, double waitMs) {
             Runnable localAction = () -> isolate(() -> policy.retryAfterReceived(openTurn(), endpoint, waitMs));
             if (handover.isForwarding()) {
-                handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
+                handover.forward(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
                         localAction);
             } else {
                 localAction.run();
@@ -796,10 +796,10 @@
         }
 
         @Override
-        public void closed(Endpoints.Call call) {
-            Runnable localAction = () -> isolate(() -> policy.callEnded(openTurn(), call.held.number));
+        public void exchangeEnded(Endpoints.Call call) {
+            Runnable localAction = () -> isolate(() -> policy.callEnded(openTurn(), call.message.number));
             if (handover.isForwarding()) {
-                handover.tell(HandoverConnection.line("closed").put("message", call.held.number), localAction);
+                handover.forward(HandoverConnection.line("closed").put("message", call.message.number), localAction);
             } else {
                 localAction.run();
             }
@@ -879,7 +879,7 @@
      * Passes a new endpoint list, or its changed entries, to the registry, the connections, the journal and the policy.
      */
     private void endpointListChanged(boolean complete, List<EndpointList.Entry> entries) {
-        if (!ownsJournal || handover.left()) {
+        if (!ownsJournal || handover.isHandedOver()) {
             return;
         }
         List<DeliveryPolicy.Endpoint> changed = new ArrayList<>();
@@ -890,7 +890,7 @@
         }
         for (EndpointList.Entry entry : entries) {
             long number = registry.number(entry.id());
-            registry.list(number, entry.destination(), entry.gone());
+            registry.recordEntry(number, entry.destination(), entry.deleted());
             unlisted.remove(number);
             journal.withdrawn(entry.id(), !entry.serving());
             int kind = Math.max(0, config.kinds().indexOf(entry.kind()));
@@ -915,7 +915,7 @@
     private final class ClientCallbacks implements SubmissionServer.SubmissionHandler {
         @Override
         public boolean ready() {
-            return ready && (!shuttingDown || handover.left());
+            return ready && (!shuttingDown || handover.isHandedOver());
         }
 
         @Override
@@ -940,7 +940,7 @@
         }
 
         @Override
-        public void closed(SubmissionServer.CloseReason reason, boolean underRequest, String cause) {
+        public void connectionClosed(SubmissionServer.CloseReason reason, boolean underRequest, String cause) {
             events.add("client-closed", "reason", reason, "under_request", underRequest, "cause", cause);
         }
 
@@ -950,11 +950,11 @@
         }
 
         @Override
-        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+        public void submit(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
             if (handover.isForwarding()) {
                 ObjectNode line = HandoverConnection.line("submit");
                 line.set("submission", HandoverConnection.JSON.valueToTree(submission));
-                handover.ask(line, reply -> callback.accept(verdict(reply)), () -> take(submission, callback));
+                handover.forwardRequest(line, reply -> callback.accept(verdict(reply)), () -> submit(submission, callback));
                 return;
             }
             callback.accept(Sender.this.admit(submission));
@@ -970,7 +970,7 @@
                 return SubmissionServer.Verdict.refused(reply.path("reason").asText("not now"),
                         reply.path("waitMs").asDouble());
             }
-            return SubmissionServer.Verdict.accepted(acknowledged -> handover.tell(HandoverConnection.line("answered")
+            return SubmissionServer.Verdict.accepted(acknowledged -> handover.forward(HandoverConnection.line("answered")
                     .put("message", reply.path("message").asLong()).put("heard", acknowledged), () -> { }));
         }
     }
@@ -1049,7 +1049,7 @@
     /** The client has received the answer that its message was accepted ({@code acknowledged}), or never will. */
     private void submissionAnswered(AcceptedMessage accepted, boolean acknowledged) {
         if (handover.isForwarding()) {
-            handover.tell(
+            handover.forward(
                     HandoverConnection.line("answered").put("message", accepted.number).put("heard", acknowledged),
                     () -> submissionAnswered(accepted, acknowledged));
             return;
@@ -1132,7 +1132,7 @@
                 callback.accept(OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
                 return;
             }
-            handover.ask(line, reply -> callback.accept(new OperatorServer.Answer(
+            handover.forwardRequest(line, reply -> callback.accept(new OperatorServer.Answer(
                     HttpResponseStatus.valueOf(reply.path("status").asInt(503)),
                     reply.path("text").asText("the new process is gone\n"))), localAction);
         }
@@ -1211,7 +1211,7 @@
         @Override
         public void unfreeze() throws IOException {
             if (lock == null) {
-                lock = StateLock.take(config.state()).orElseThrow(() -> new IOException("another process owns"));
+                lock = StateLock.tryAcquire(config.state()).orElseThrow(() -> new IOException("another process owns"));
             }
             journal.resume();
             continueOwning();
@@ -1230,7 +1230,7 @@
         }
 
         @Override
-        public void left() {
+        public void handedOver() {
             logHandover("LEFT");
             watchdog.suspend();
             openMessages.clear();
@@ -1249,7 +1249,7 @@
         /** Logs what this process holds at each step; the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
             events.add("handover", "phase", phase, "open", openMessages.size(), "module", policy.openMessages().size(), "calls",
-                    callsInFlight.size(), "notices", notices.owed(), "closing", shuttingDown);
+                    callsInFlight.size(), "notices", notices.pendingNotices(), "closing", shuttingDown);
         }
     }
 
@@ -1362,7 +1362,7 @@
                         line.path("open").asBoolean());
                 case "wait" -> isolate(() -> policy.retryAfterReceived(openTurn(), line.path("endpoint").asLong(),
                         line.path("waitMs").asDouble()));
-                case "over" -> predecessorCalls.held(message).ifPresent(
+                case "over" -> predecessorCalls.findMessage(message).ifPresent(
                         accepted -> endByLateAnswer(accepted, line.path("delivered").asBoolean()));
                 case "closed" -> predecessorCallClosed(message);
                 case "answered" -> submissionAnswered(message, line.path("heard").asBoolean());
@@ -1377,10 +1377,10 @@
 
         private void predecessorAttemptEnded(AttemptId attempt, DeliveryPolicy.Outcome outcome, boolean messageEnded,
                 boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
-            if (!predecessorCalls.ended(attempt, callOpen)) {
+            if (!predecessorCalls.attemptEnded(attempt, callOpen)) {
                 return;
             }
-            Optional<AcceptedMessage> accepted = predecessorCalls.held(attempt.message());
+            Optional<AcceptedMessage> accepted = predecessorCalls.findMessage(attempt.message());
             if (accepted.isPresent()) {
                 attemptEnded(accepted.get(), attempt.attempt(), outcome, messageEnded, needsConfirmation, waitMs,
                         tookMs, callOpen);
@@ -1392,7 +1392,7 @@
         }
 
         private void predecessorCallClosed(long message) {
-            if (predecessorCalls.closed(message)) {
+            if (predecessorCalls.callClosed(message)) {
                 isolate(() -> policy.callEnded(openTurn(), message));
             }
         }
@@ -1400,7 +1400,7 @@
         private void submissionAnswered(long message, boolean acknowledged) {
             Deque<SubmissionServer.Verdict> verdicts = unansweredSubmissions.get(message);
             if (verdicts == null) {
-                predecessorCalls.held(message).ifPresent(
+                predecessorCalls.findMessage(message).ifPresent(
                         accepted -> Sender.this.submissionAnswered(accepted, acknowledged));
                 return;
             }
@@ -1408,7 +1408,7 @@
             if (verdicts.isEmpty()) {
                 unansweredSubmissions.remove(message);
             }
-            verdict.answered().accept(acknowledged);
+            verdict.answerListener().accept(acknowledged);
         }
 
         private void handleSubmission(JsonNode line) {
@@ -1422,23 +1422,23 @@
                 if (verdict.accepted() && accepted.isPresent()) {
                     long number = accepted.get().number;
                     unansweredSubmissions.computeIfAbsent(number, message -> new ArrayDeque<>()).add(verdict);
-                    takeover.tell(reply.put("message", number));
+                    takeover.sendToPredecessor(reply.put("message", number));
                 } else if (verdict.accepted()) {
                     // The message has run already, so it does not matter whether its client receives this answer.
-                    takeover.tell(reply.put("message", NO_MESSAGE));
+                    takeover.sendToPredecessor(reply.put("message", NO_MESSAGE));
                 } else {
-                    takeover.tell(reply.put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
+                    takeover.sendToPredecessor(reply.put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
                             .put("reason", verdict.reason()).put("waitMs", verdict.waitMs()));
                 }
             } catch (IOException | RuntimeException e) {
                 Log.line("a submission passed on by the predecessor can't be handled: " + e);
-                takeover.tell(HandoverConnection.line("reply").put("n", line.path("n").asLong())
+                takeover.sendToPredecessor(HandoverConnection.line("reply").put("n", line.path("n").asLong())
                         .put("reason", "can't be read"));
             }
         }
 
         private void replyTo(JsonNode line, OperatorServer.Answer answer) {
-            takeover.tell(HandoverConnection.line("reply").put("n", line.path("n").asLong())
+            takeover.sendToPredecessor(HandoverConnection.line("reply").put("n", line.path("n").asLong())
                     .put("status", answer.status().code()).put("text", answer.text()));
         }
 
@@ -1447,7 +1447,7 @@
          * clients may have received their answers.
          */
         @Override
-        public void gone() {
+        public void predecessorEnded() {
             Log.line("the old process is gone, with " + predecessorCalls.size() + " calls out");
             events.add("predecessor-gone", "calls", predecessorCalls.size(), "open", openMessages.size(), "module",
                     policy.openMessages().size(), "unanswered", unansweredSubmissions.size());
@@ -1459,7 +1459,7 @@
             List<SubmissionServer.Verdict> unanswered =
                     unansweredSubmissions.values().stream().flatMap(Deque::stream).toList();
             unansweredSubmissions.clear();
-            unanswered.forEach(verdict -> isolate(() -> verdict.answered().accept(true)));
+            unanswered.forEach(verdict -> isolate(() -> verdict.answerListener().accept(true)));
             for (AcceptedMessage accepted : predecessorCalls.acceptedMessages()) {
                 if (!accepted.ended) {
                     isolate(() -> Sender.this.submissionAnswered(accepted, true));
@@ -1484,7 +1484,7 @@
                 stopped.countDown();
                 return;
             }
-            if (handover.left()) {
+            if (handover.isHandedOver()) {
                 awaitIdle(startedNanos);
                 return;
             }
@@ -1507,9 +1507,9 @@
 
     /** Finishes the shutdown once nothing is in flight or the time limit has passed. */
     private void awaitIdle(long startedNanos) {
-        boolean idle = handover.left()
+        boolean idle = handover.isHandedOver()
                 ? callsInFlight.isEmpty() && handover.unanswered() == 0 && submissionServer.isTerminated()
-                : openMessages.isEmpty() && notices.owed() == 0 && submissionServer.isTerminated()
+                : openMessages.isEmpty() && notices.pendingNotices() == 0 && submissionServer.isTerminated()
                         && !journal.hasDeferredRecords();
         if (idle) {
             finishShutdown();
@@ -1523,12 +1523,12 @@
 
     private void finishShutdown() {
         submissionServer.stopReading();
-        if (ownsJournal && !handover.left()) {
+        if (ownsJournal && !handover.isHandedOver()) {
             journal.writeDeferred();
         }
         events.flush();
         Log.line(config.name() + " ends; its journal holds " + openMessages.size() + " messages and "
-                + notices.owed() + " notices");
+                + notices.pendingNotices() + " notices");
         unattempted.close();
         handover.close();
         stopped.countDown();
--- a/src/main/java/starlingvalve/net/StateLock.java
+++ b/src/main/java/starlingvalve/net/StateLock.java
@@ -21,7 +21,7 @@
     }
 
     /** Takes the lock; returns nothing if another owner has it, in this process or another one. */
-    static Optional<StateLock> take(Path folder) throws IOException {
+    static Optional<StateLock> tryAcquire(Path folder) throws IOException {
         FileChannel channel = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
         try {
--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -87,17 +87,17 @@
      *
      * @param reason why the message is not accepted; empty if it is
      * @param waitMs time for which the client should not submit again, sent as {@code Retry-After}; 0 if unknown
-     * @param answered called once the answer of an accepted message is written, or can't be: with whether the client
+     * @param answerListener called once the answer of an accepted message is written, or can't be: with whether the client
      *     may have received it
      */
-    record Verdict(Decision decision, String reason, double waitMs, Consumer<Boolean> answered) {
+    record Verdict(Decision decision, String reason, double waitMs, Consumer<Boolean> answerListener) {
         /**
          * An accepted message.
          *
-         * @param answered called with whether the client may have received the answer; with false if it never will
+         * @param answerListener called with whether the client may have received the answer; with false if it never will
          */
-        static Verdict accepted(Consumer<Boolean> answered) {
-            return new Verdict(Decision.ACCEPTED, "", 0, answered);
+        static Verdict accepted(Consumer<Boolean> answerListener) {
+            return new Verdict(Decision.ACCEPTED, "", 0, answerListener);
         }
 
         /** A refused message; nothing is known about when to submit it again. */
@@ -143,7 +143,7 @@
          * Journals a message or refuses it; if a message with its id is open already, that one is kept. Calls
          * {@code callback} once.
          */
-        void take(Submission submission, Consumer<Verdict> callback);
+        void submit(Submission submission, Consumer<Verdict> callback);
 
         /** A request was answered with a client error, and nothing of it was accepted. */
         default void rejected(HttpResponseStatus status, String reason) {
@@ -156,7 +156,7 @@
          * @param unansweredRequest whether at least a part of a request was received that was not answered
          * @param cause the system's error message, or empty
          */
-        default void closed(CloseReason reason, boolean unansweredRequest, String cause) {
+        default void connectionClosed(CloseReason reason, boolean unansweredRequest, String cause) {
         }
 
         /** A connection could not be accepted. */
@@ -250,7 +250,7 @@
         public boolean admit(Channel accepted) {
             boolean admitted = admission.admit(accepted);
             if (!admitted) {
-                loop.execute(() -> handler.closed(CloseReason.NO_ROOM, false, NO_CAUSE));
+                loop.execute(() -> handler.connectionClosed(CloseReason.NO_ROOM, false, NO_CAUSE));
             }
             return admitted;
         }
@@ -417,7 +417,7 @@
         private void reportClose(Channel client, CloseReason reason, String cause) {
             if (!closeReported && !lastResponseSent) {
                 closeReported = true;
-                handler.closed(reason, hasUnansweredRequest(client), cause);
+                handler.connectionClosed(reason, hasUnansweredRequest(client), cause);
             }
         }
 
@@ -474,10 +474,10 @@
                 return;
             }
             boolean close = !HttpUtil.isKeepAlive(request);
-            handler.take(submission, verdict -> {
+            handler.submit(submission, verdict -> {
                 if (verdict.accepted()) {
                     ChannelProgressivePromise written = ctx.newProgressivePromise();
-                    written.addListener(new ResponseWriteListener(verdict.answered()));
+                    written.addListener(new ResponseWriteListener(verdict.answerListener()));
                     respond(ctx, close, response(HttpResponseStatus.ACCEPTED, ""), written);
                 } else {
                     FullHttpResponse refusal = response(verdict.decision().status, verdict.reason());
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -50,7 +50,7 @@
         void reported(JsonNode line);
 
         /** The predecessor has ended, and with it the connections of its calls in flight. */
-        void gone();
+        void predecessorEnded();
     }
 
     private final EventLoop loop;
@@ -83,7 +83,7 @@
             if (owner) {
                 return;
             }
-            Optional<StateLock> lock = takeLock();
+            Optional<StateLock> lock = tryAcquireLock();
             if (lock.isPresent()) {
                 owner = true;
                 ownWithoutState(lock.get());
@@ -120,9 +120,9 @@
     }
 
     /** Takes the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a lock in use. */
-    private Optional<StateLock> takeLock() throws IOException {
+    private Optional<StateLock> tryAcquireLock() throws IOException {
         try {
-            Optional<StateLock> lock = StateLock.take(stateFolder);
+            Optional<StateLock> lock = StateLock.tryAcquire(stateFolder);
             retry.succeeded();
             return lock;
         } catch (IOException e) {
@@ -135,7 +135,7 @@
 
     /** Whether another process owns the journal now. */
     boolean isOwnedElsewhere() throws IOException {
-        Optional<StateLock> lock = takeLock();
+        Optional<StateLock> lock = tryAcquireLock();
         lock.ifPresent(StateLock::close);
         return lock.isEmpty();
     }
@@ -146,7 +146,7 @@
     }
 
     /** Sends a line to the predecessor, if it is still connected. */
-    void tell(ObjectNode line) {
+    void sendToPredecessor(ObjectNode line) {
         if (connection != null) {
             connection.send(line);
         }
@@ -229,7 +229,7 @@
             return;
         }
         try {
-            Optional<StateLock> lock = takeLock();
+            Optional<StateLock> lock = tryAcquireLock();
             if (lock.isEmpty()) {
                 decline(from);
                 return;
@@ -238,7 +238,7 @@
                 decline(from);
                 return;
             }
-            tell(HandoverConnection.line("own"));
+            sendToPredecessor(HandoverConnection.line("own"));
             earlyReports.forEach(report -> FaultIsolation.run(() -> callbacks.reported(report)));
             earlyReports.clear();
         } catch (IOException | RuntimeException | Error e) {
@@ -278,7 +278,7 @@
         earlyReports.clear();
         timeout.cancel(false);
         if (owner) {
-            callbacks.gone();
+            callbacks.predecessorEnded();
         } else {
             retryLater();
         }
--- a/src/main/java/starlingvalve/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -198,7 +198,7 @@
                                         Optional.of("thread"), 1, 1, BODY);
                         journal.accepted(accepted);
                         accepted.attempts.add(new AcceptedMessage.Attempt("endpoint", 1));
-                        journal.begins(accepted, 0);
+                        journal.attemptStarting(accepted, 0);
                         if (i % 10 > 0) {
                             journal.ended(accepted, FinishedMessage.Result.DELIVERED);
                         } else {
@@ -275,7 +275,7 @@
         }
 
         @Override
-        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+        public void submit(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
             callback.accept(SubmissionServer.Verdict.accepted(acknowledged -> { }));
         }
     }
--- a/src/test/java/starlingvalve/net/DiscoveryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryTest.java
@@ -93,7 +93,7 @@
             if (listenerFaults-- > 0) {
                 throw new IllegalStateException("a fault made by the listener");
             }
-            entries.forEach(e -> received.add((e.gone() ? "gone " : "") + e.id()));
+            entries.forEach(e -> received.add((e.deleted() ? "gone " : "") + e.id()));
         }, EventLog.shared());
         return new Discovery(loop.eventLoop(), agent, new Random(seed), list, Optional.empty(),
                 () -> TimeUnit.MILLISECONDS.toNanos(nowMs));
--- a/src/test/java/starlingvalve/net/EndpointClient.java
+++ b/src/test/java/starlingvalve/net/EndpointClient.java
@@ -135,7 +135,7 @@
 
     @Override
     public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double waitMs, boolean open) {
-        ends.add(new End(call.held.id, outcome, messageEnded, waitMs));
+        ends.add(new End(call.message.id, outcome, messageEnded, waitMs));
         Runnable task = afterNextEnd;
         afterNextEnd = () -> { };
         task.run();
--- a/src/test/java/starlingvalve/net/EndpointListTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListTest.java
@@ -26,7 +26,7 @@
             lifecycles.clear();
         }
         entries.forEach(entry -> lifecycles.put(entry.id(),
-                entry.gone() ? "gone" : entry.serving() ? "serving" : "draining"));
+                entry.deleted() ? "gone" : entry.serving() ? "serving" : "draining"));
     }, EventLog.shared());
 
     private static Optional<FullHttpResponse> answer(int generation, boolean reset, String... entries) {
--- a/src/test/java/starlingvalve/net/EndpointListWaitTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListWaitTest.java
@@ -80,10 +80,10 @@
      * the task that continues the call after the second wait.
      */
     private Runnable startCallThatWaits(double timeoutMs) throws InterruptedException {
-        AcceptedMessage held =
+        AcceptedMessage message =
                 new AcceptedMessage(0, "m", "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[5]);
         runInLoop(() -> {
-            endpoints.call(held, 0, ENDPOINT, timeoutMs);
+            endpoints.call(message, 0, ENDPOINT, timeoutMs);
             endpoints.flush();
             return null;
         });
--- a/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
+++ b/src/test/java/starlingvalve/net/EndpointUnflushedCallTest.java
@@ -45,11 +45,11 @@
         @Override
         public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
                 boolean exchangeOpen) {
-            ends.add(new End(call.held.id, outcome));
+            ends.add(new End(call.message.id, outcome));
         }
 
         @Override
-        public boolean begins(Endpoints.Call call) {
+        public boolean callStarting(Endpoints.Call call) {
             begunCalls++;
             return true;
         }
@@ -100,8 +100,8 @@
     private boolean startIsWrittenCompletely(Endpoints endpoints, int number) throws Exception {
         int before = loop.submit(() -> writtenMessages).get();
         loop.submit(() -> {
-            endpoints.call(held("a" + number), 0, ENDPOINT, number == 0 ? LONG_MS : SHORT_MS);
-            endpoints.call(held("b" + number), 0, ENDPOINT, LONG_MS);
+            endpoints.call(message("a" + number), 0, ENDPOINT, number == 0 ? LONG_MS : SHORT_MS);
+            endpoints.call(message("b" + number), 0, ENDPOINT, LONG_MS);
             endpoints.flush();
         }).sync();
         int expected = 2 * (number + 1);
@@ -110,7 +110,7 @@
         return loop.submit(() -> writtenMessages).get() > before;
     }
 
-    private static AcceptedMessage held(String id) {
+    private static AcceptedMessage message(String id) {
         return new AcceptedMessage(0, id, "order", "t", Optional.empty(), Optional.empty(), 7, 0,
                 new byte[BODY_LENGTH]);
     }
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -81,7 +81,7 @@
         @Override
         public boolean mayBeginAttempt(Endpoints.Call call) {
             beforeStart.run();
-            return !withheldIds.contains(call.held.id);
+            return !withheldIds.contains(call.message.id);
         }
 
         @Override
@@ -91,7 +91,7 @@
         }
 
         @Override
-        public boolean begins(Endpoints.Call call) {
+        public boolean callStarting(Endpoints.Call call) {
             beforeWrite.run();
             return !journalFull;
         }
@@ -104,12 +104,12 @@
 
         @Override
         public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-            endedAfterCall.add(call.held.id + " " + delivered);
+            endedAfterCall.add(call.message.id + " " + delivered);
         }
 
         @Override
-        public void closed(Endpoints.Call call) {
-            closedIds.add(call.held.id);
+        public void exchangeEnded(Endpoints.Call call) {
+            closedIds.add(call.message.id);
         }
     };
 
@@ -131,10 +131,10 @@
     }
 
     private Endpoints.Call start(byte[] body, double timeoutMs) throws Exception {
-        AcceptedMessage held =
+        AcceptedMessage message =
                 new AcceptedMessage(1, "id-1", "order", "t", Optional.of("key-1"), Optional.empty(), 7, 0, body);
         return loop.submit(() -> {
-            Endpoints.Call call = endpoints.call(held, 0, 1, timeoutMs);
+            Endpoints.Call call = endpoints.call(message, 0, 1, timeoutMs);
             endpoints.flush();
             return call;
         }).get();
@@ -304,10 +304,10 @@
         return loop.submit(() -> {
             List<Endpoints.Call> calls = new ArrayList<>();
             for (int i = 0; i < many; i++) {
-                AcceptedMessage held = new AcceptedMessage(i, "id-" + i, "order", "t",
+                AcceptedMessage message = new AcceptedMessage(i, "id-" + i, "order", "t",
                         i == 1 ? Optional.empty() : Optional.of("key-" + i),
                         Optional.empty(), 7, 0, ("body\r\n" + i).getBytes(StandardCharsets.ISO_8859_1));
-                calls.add(endpoints.call(held, 0, 1, LONG_MS));
+                calls.add(endpoints.call(message, 0, 1, LONG_MS));
             }
             endpoints.flush();
             return calls;
@@ -499,7 +499,7 @@
     @Test
     void unreadBytesMakeConnectionUnusable() throws Exception {
         for (String stray : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "\r\n")) {
-            AcceptedMessage held = new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7,
+            AcceptedMessage message = new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7,
                     0, new byte[1]);
             assertOutcome(Outcome.DELIVERED, this::answerAndRecordSocket);
             awaitIdleConnection();
@@ -507,7 +507,7 @@
             loop.submit(() -> {
                 // The loop reads nothing until this returns; on loopback, written bytes have arrived at once.
                 StubServer.write(serverSockets.get(serverSockets.size() - 1), stray);
-                endpoints.call(held, 0, 1, LONG_MS);
+                endpoints.call(message, 0, 1, LONG_MS);
                 endpoints.flush();
                 return null;
             }).sync();
@@ -732,13 +732,13 @@
         CountDownLatch chosen = new CountDownLatch(1);
         CountDownLatch closed = new CountDownLatch(1);
         closeOnceConnectionIsChosen(chosen, closed);
-        AcceptedMessage held =
+        AcceptedMessage message =
                 new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[1]);
         loop.submit(() -> {
             chosen.countDown();
             closed.await();
             stub.script(StubServer.status(200, ""));
-            endpoints.call(held, 0, 1, LONG_MS);
+            endpoints.call(message, 0, 1, LONG_MS);
             endpoints.flush();
             return null;
         }).sync();
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -55,7 +55,7 @@
 
     private boolean isOwned(Path state) {
         try {
-            Optional<StateLock> lock = StateLock.take(state);
+            Optional<StateLock> lock = StateLock.tryAcquire(state);
             lock.ifPresent(StateLock::close);
             return lock.isEmpty();
         } catch (IOException e) {
@@ -123,7 +123,7 @@
             predecessor.accepted(accepted(predecessor, "later"));
         }
         try (Journal reopened = new Journal(state, JOURNAL_BYTES, 12)) {
-            assertEquals(List.of("first", "later"), reopened.held().stream().map(accepted -> accepted.id).toList());
+            assertEquals(List.of("first", "later"), reopened.liveMessages().stream().map(accepted -> accepted.id).toList());
         }
     }
 
@@ -205,7 +205,7 @@
             assertTrue(predecessor.writeDeferred());
         }
         try (Journal reopened = new Journal(state, JOURNAL_BYTES, 12)) {
-            assertEquals(0, reopened.held().size());
+            assertEquals(0, reopened.liveMessages().size());
         }
     }
 }
--- a/src/test/java/starlingvalve/net/HandoverTest.java
+++ b/src/test/java/starlingvalve/net/HandoverTest.java
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public void left() {
+        public void handedOver() {
             events.add("left");
         }
 
@@ -109,10 +109,10 @@
     void failedSuccessorLetsAllLocalActionsRunThoughOneThrows() throws Exception {
         SocketChannel connection = requestHandover();
         loop.submit(() -> {
-            handover.tell(HandoverConnection.line("ended"), () -> {
+            handover.forward(HandoverConnection.line("ended"), () -> {
                 throw new IllegalStateException("fault injected by the test");
             });
-            handover.tell(HandoverConnection.line("ended"), () -> events.add("second"));
+            handover.forward(HandoverConnection.line("ended"), () -> events.add("second"));
         }).sync();
         connection.close();
         StubServer.await("the process takes the journal back", () -> events.contains("unfreeze"));
--- a/src/test/java/starlingvalve/net/JournalClockTest.java
+++ b/src/test/java/starlingvalve/net/JournalClockTest.java
@@ -67,7 +67,7 @@
     }
 
     private static long leftMs(Journal journal) {
-        return journal.held().iterator().next().deadlineMs - journal.clock().nowMs();
+        return journal.liveMessages().iterator().next().deadlineMs - journal.clock().nowMs();
     }
 
     @Test
--- a/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
+++ b/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
@@ -37,7 +37,7 @@
     }
 
     private static List<String> ids(Journal journal) {
-        return journal.held().stream().map(message -> message.id).toList();
+        return journal.liveMessages().stream().map(message -> message.id).toList();
     }
 
     @Test
@@ -47,14 +47,14 @@
             AcceptedMessage returned = accept(journal, 10);
             disk.writableBytes = 0;
             journal.ended(delivered, FinishedMessage.Result.DELIVERED);
-            journal.owed(returned, new AcceptedMessage.Notice(true, 500));
+            journal.noticePending(returned, new AcceptedMessage.Notice(true, 500));
             assertFalse(journal.writeDeferred(), "the disk still fails");
             disk.repair();
             assertTrue(journal.writeDeferred());
         }
         try (Journal journal = open()) {
             assertEquals(List.of("id-1"), ids(journal));
-            assertTrue(journal.held().iterator().next().ended, "only its notice is still due");
+            assertTrue(journal.liveMessages().iterator().next().ended, "only its notice is still due");
             assertEquals(FinishedMessage.Result.DELIVERED, journal.finished("id-0").orElseThrow().result());
             assertEquals(FinishedMessage.Result.REFUSED, journal.finished("id-1").orElseThrow().result());
         }
@@ -69,13 +69,13 @@
             journal.neverRan(message, 0);
             assertThrows(IOException.class, () -> accept(journal, 10), "a message that can't be recorded is rejected");
             message.attempts.add(new AcceptedMessage.Attempt("s-1", 2));
-            assertThrows(IOException.class, () -> journal.begins(message, 1),
+            assertThrows(IOException.class, () -> journal.attemptStarting(message, 1),
                     "an attempt that can't be recorded is not made");
             disk.repair();
-            journal.begins(message, 1);
+            journal.attemptStarting(message, 1);
         }
         try (Journal journal = open()) {
-            AcceptedMessage message = journal.held().iterator().next();
+            AcceptedMessage message = journal.liveMessages().iterator().next();
             assertEquals(List.of("s-0", "s-1"), message.attempts.stream().map(attempt -> attempt.endpoint).toList());
             assertEquals(List.of(true, false), message.attempts.stream().map(attempt -> attempt.neverRan).toList());
         }
@@ -115,7 +115,7 @@
             assertTrue(journal.size() > before);
         }
         try (Journal journal = open()) {
-            assertEquals(1, journal.held().iterator().next().attempts.size(), "each attempt is recorded once");
+            assertEquals(1, journal.liveMessages().iterator().next().attempts.size(), "each attempt is recorded once");
         }
     }
 
@@ -162,7 +162,7 @@
             Random random = new Random(seed);
             List<AcceptedMessage> live = new ArrayList<>();
             try (Journal journal = open()) {
-                for (AcceptedMessage message : journal.held()) {
+                for (AcceptedMessage message : journal.liveMessages()) {
                     journal.ended(message);
                 }
                 for (int step = 0; step < 300; step++) {
@@ -174,7 +174,7 @@
                 assertTrue(journal.writeDeferred());
             }
             try (Journal journal = open()) {
-                assertEquals(describe(live), describe(List.copyOf(journal.held())), "seed " + seed);
+                assertEquals(describe(live), describe(List.copyOf(journal.liveMessages())), "seed " + seed);
             }
         }
     }
@@ -190,7 +190,7 @@
             } else {
                 message.attempts.add(
                         new AcceptedMessage.Attempt("s-" + message.attempts.size(), message.attempts.size()));
-                journal.begins(message, message.attempts.size() - 1);
+                journal.attemptStarting(message, message.attempts.size() - 1);
                 if (random.nextBoolean()) {
                     journal.neverRan(message, message.attempts.size() - 1);
                 }
--- a/src/test/java/starlingvalve/net/JournalHandoverTest.java
+++ b/src/test/java/starlingvalve/net/JournalHandoverTest.java
@@ -23,7 +23,7 @@
 
     private List<String> idsInFile() throws Exception {
         try (Journal journal = new Journal(folder, MAX_BYTES, 12)) {
-            return journal.held().stream().map(message -> message.id).toList();
+            return journal.liveMessages().stream().map(message -> message.id).toList();
         }
     }
 
--- a/src/test/java/starlingvalve/net/JournalTest.java
+++ b/src/test/java/starlingvalve/net/JournalTest.java
@@ -38,7 +38,7 @@
     /** Adds an attempt to a message and records that it starts at once. */
     static void attempt(Journal journal, AcceptedMessage message, AcceptedMessage.Attempt attempt) throws IOException {
         message.attempts.add(attempt);
-        journal.begins(message, message.attempts.size() - 1);
+        journal.attemptStarting(message, message.attempts.size() - 1);
     }
 
     @Test
@@ -68,7 +68,7 @@
             List<String> known = List.copyOf(journal.withdrawn());
             assertEquals("s-19999", known.get(known.size() - 1));
             assertTrue(known.size() > 50 && known.size() < 1000, "endpoints: " + known.size());
-            assertEquals(1, journal.held().size());
+            assertEquals(1, journal.liveMessages().size());
         }
     }
 
@@ -84,11 +84,11 @@
             attempt(journal, open, new AcceptedMessage.Attempt("s-1", 100));
             attempt(journal, open, new AcceptedMessage.Attempt("s-2", 200));
             journal.neverRan(open, 0);
-            journal.owed(withNotice, new AcceptedMessage.Notice(true, 500));
+            journal.noticePending(withNotice, new AcceptedMessage.Notice(true, 500));
             journal.ended(ended);
         }
         try (Journal journal = open()) {
-            List<AcceptedMessage> messages = List.copyOf(journal.held());
+            List<AcceptedMessage> messages = List.copyOf(journal.liveMessages());
             assertEquals(2, messages.size());
             AcceptedMessage open = messages.get(0);
             assertEquals("id-0", open.id);
@@ -120,7 +120,7 @@
             journal.neverRan(message, 2);
             message.attempts.add(new AcceptedMessage.Attempt("s-3", 400));
             attempt(journal, message, new AcceptedMessage.Attempt("s-4", 500));
-            journal.begins(message, 3);
+            journal.attemptStarting(message, 3);
             journal.neverRan(message, 4);
             message.attempts.add(new AcceptedMessage.Attempt("s-5", 600));
             journal.neverRan(message, 5);
@@ -128,7 +128,7 @@
         }
         for (int restart = 0; restart < 2; restart++) {
             try (Journal journal = open()) {
-                AcceptedMessage message = journal.held().iterator().next();
+                AcceptedMessage message = journal.liveMessages().iterator().next();
                 assertEquals(List.of("s-0", "s-1", "s-2", "s-3", "s-4", "s-5"),
                         message.attempts.stream().map(attempt -> attempt.endpoint).toList());
                 assertEquals(List.of(true, false, true, false, true, true),
@@ -165,7 +165,7 @@
                     .put(both, first.length, both.length - first.length);
             Files.write(file, mixed.array());
             try (Journal journal = open()) {
-                assertEquals(2, journal.held().size());
+                assertEquals(2, journal.liveMessages().size());
             }
         }
     }
@@ -183,17 +183,17 @@
         for (int cut = whole.length - 1; cut > first; cut -= 7) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
-                assertEquals(1, journal.held().size());
+                assertEquals(1, journal.liveMessages().size());
                 journal.accepted(newMessage(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.held().size(), "a record appended after a torn tail must be read again");
+                assertEquals(2, journal.liveMessages().size(), "a record appended after a torn tail must be read again");
             }
         }
         Files.write(file, whole);
         Files.write(file, new byte[700], StandardOpenOption.APPEND);
         try (Journal journal = open()) {
-            assertEquals(2, journal.held().size());
+            assertEquals(2, journal.liveMessages().size());
         }
     }
 
@@ -208,7 +208,7 @@
         bytes[bytes.length - 2] ^= 1;
         Files.write(file, bytes);
         try (Journal journal = open()) {
-            assertEquals(1, journal.held().size());
+            assertEquals(1, journal.liveMessages().size());
         }
     }
 
@@ -232,7 +232,7 @@
                 }
                 if (random.nextInt(100) < 48 || live.size() > 60) {
                     AcceptedMessage ended = live.remove();
-                    journal.owed(ended, new AcceptedMessage.Notice(false, 0));
+                    journal.noticePending(ended, new AcceptedMessage.Notice(false, 0));
                     journal.ended(ended);
                 }
                 compactions += journal.size() < before ? 1 : 0;
@@ -245,7 +245,7 @@
         assertTrue(compactions > 10);
         try (Journal journal = open()) {
             assertEquals(live.stream().map(message -> message.id).toList(),
-                    journal.held().stream().map(message -> message.id).toList());
+                    journal.liveMessages().stream().map(message -> message.id).toList());
         }
     }
 
@@ -265,7 +265,7 @@
                     attempt(journal, message, new AcceptedMessage.Attempt("s-5be2a07c5be2a07c", i));
                     journal.neverRan(message, i);
                 }
-                journal.owed(message, new AcceptedMessage.Notice(true, 1));
+                journal.noticePending(message, new AcceptedMessage.Notice(true, 1));
             }
             for (AcceptedMessage message : accepted) {
                 journal.ended(message);
@@ -303,9 +303,9 @@
         try (Journal journal = open()) {
             journal.ended(accept(journal, "delivered", deadlineMs), FinishedMessage.Result.DELIVERED);
             AcceptedMessage acknowledged = accept(journal, "heard", deadlineMs);
-            journal.owed(acknowledged, new AcceptedMessage.Notice(true, 700));
+            journal.noticePending(acknowledged, new AcceptedMessage.Notice(true, 700));
             journal.ended(acknowledged);
-            journal.owed(accept(journal, "unheard", deadlineMs), new AcceptedMessage.Notice(false, 0));
+            journal.noticePending(accept(journal, "unheard", deadlineMs), new AcceptedMessage.Notice(false, 0));
             journal.ended(accept(journal, "nobody's", deadlineMs));
         }
         for (int restart = 0; restart < 3; restart++) {
@@ -315,7 +315,7 @@
                 assertEquals(700, journal.finished("heard").orElseThrow().waitMs());
                 assertEquals(Optional.of(FinishedMessage.Result.FAILED), result(journal, "unheard"));
                 assertEquals(Optional.empty(), result(journal, "nobody's"));
-                assertEquals(1, journal.held().size());
+                assertEquals(1, journal.liveMessages().size());
                 long before = journal.size();
                 for (int i = 0; journal.size() >= before; i++) {
                     before = journal.size();
@@ -332,15 +332,15 @@
         try (Journal journal = open()) {
             journal.endConfirmationPending(accept(journal, "heard", deadlineMs));
             journal.endConfirmationPending(accept(journal, "unheard", deadlineMs));
-            journal.ended(journal.held().iterator().next());
+            journal.ended(journal.liveMessages().iterator().next());
         }
         for (int restart = 0; restart < 3; restart++) {
             try (Journal journal = open()) {
                 for (String id : List.of("heard", "unheard")) {
                     assertEquals(Optional.of(FinishedMessage.Result.DELIVERED), result(journal, id));
                 }
-                assertEquals(List.of("unheard"), journal.held().stream().map(message -> message.id).toList());
-                assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.held().iterator().next().pendingNotice.orElseThrow());
+                assertEquals(List.of("unheard"), journal.liveMessages().stream().map(message -> message.id).toList());
+                assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.liveMessages().iterator().next().pendingNotice.orElseThrow());
                 for (long before = 0; journal.size() >= before;) {
                     before = journal.size();
                     journal.ended(accept(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
--- a/src/test/java/starlingvalve/net/MessageEndTest.java
+++ b/src/test/java/starlingvalve/net/MessageEndTest.java
@@ -59,17 +59,17 @@
         @Override
         public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
                 boolean exchangeOpen) {
-            received.add(new Callback.Ended(call.held.id, call.attempt, outcome, messageEnded, exchangeOpen));
+            received.add(new Callback.Ended(call.message.id, call.attempt, outcome, messageEnded, exchangeOpen));
         }
 
         @Override
         public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-            received.add(new Callback.EndedAfterCall(call.held.id, call.attempt, delivered));
+            received.add(new Callback.EndedAfterCall(call.message.id, call.attempt, delivered));
         }
 
         @Override
-        public void closed(Endpoints.Call call) {
-            received.add(new Callback.Closed(call.held.id));
+        public void exchangeEnded(Endpoints.Call call) {
+            received.add(new Callback.Closed(call.message.id));
         }
     };
 
@@ -100,12 +100,12 @@
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    private static AcceptedMessage held(String id, int bodyLength) {
+    private static AcceptedMessage message(String id, int bodyLength) {
         return new AcceptedMessage(0, id, "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[bodyLength]);
     }
 
-    private Endpoints.Call call(AcceptedMessage held, int attempt, long endpoint, double timeoutMs) {
-        return endpoints.call(held, attempt, endpoint, timeoutMs);
+    private Endpoints.Call call(AcceptedMessage message, int attempt, long endpoint, double timeoutMs) {
+        return endpoints.call(message, attempt, endpoint, timeoutMs);
     }
 
     private Callback next() throws InterruptedException {
@@ -123,9 +123,9 @@
     /** Sends three messages in one request; the first is cancelled and the second times out before the answer. */
     private void abandonTwoOfThree() throws Exception {
         Endpoints.Call cancelled = runInLoop(() -> {
-            Endpoints.Call call = call(held("cancelled", 5), 0, FIRST, LONG_MS);
-            call(held("hasty", 5), 0, FIRST, SHORT_MS);
-            call(held("waiting", 5), 0, FIRST, LONG_MS);
+            Endpoints.Call call = call(message("cancelled", 5), 0, FIRST, LONG_MS);
+            call(message("hasty", 5), 0, FIRST, SHORT_MS);
+            call(message("waiting", 5), 0, FIRST, LONG_MS);
             endpoints.flush();
             return call;
         });
@@ -175,9 +175,9 @@
     /** The answer was read, but the policy not notified yet, when the connection for a hedge came up. */
     @Test
     void nothingIsSentForMessageWhoseEndHasBeenRead() throws Exception {
-        AcceptedMessage held = held("raced", 5);
+        AcceptedMessage message = message("raced", 5);
         runInLoop(() -> {
-            call(held, 0, FIRST, LONG_MS);
+            call(message, 0, FIRST, LONG_MS);
             endpoints.flush();
             return null;
         });
@@ -185,7 +185,7 @@
         runInLoop(() -> {
             // The loop reads nothing now: the answer is in the socket before the second connect starts.
             first.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-            call(held, 1, SECOND, LONG_MS);
+            call(message, 1, SECOND, LONG_MS);
             endpoints.flush();
             return null;
         });
@@ -209,8 +209,8 @@
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             open(SmallBufferChannel::new, (InetSocketAddress) server.getLocalSocketAddress());
             Endpoints.Call cancelled = runInLoop(() -> {
-                Endpoints.Call call = call(held("over", LARGE_BODY), 0, FIRST, LONG_MS);
-                call(held("other", LARGE_BODY), 0, FIRST, LONG_MS);
+                Endpoints.Call call = call(message("over", LARGE_BODY), 0, FIRST, LONG_MS);
+                call(message("other", LARGE_BODY), 0, FIRST, LONG_MS);
                 endpoints.flush();
                 return call;
             });
@@ -250,7 +250,7 @@
             answered.countDown();
         });
         runInLoop(() -> {
-            call(held("late", 5), 0, FIRST, SHORT_MS);
+            call(message("late", 5), 0, FIRST, SHORT_MS);
             endpoints.flush();
             return null;
         });
--- a/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
+++ b/src/test/java/starlingvalve/net/PermissiveEndpointCallbacks.java
@@ -8,7 +8,7 @@
     }
 
     @Override
-    public boolean begins(Endpoints.Call call) {
+    public boolean callStarting(Endpoints.Call call) {
         return true;
     }
 
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void closed(Endpoints.Call call) {
+    public void exchangeEnded(Endpoints.Call call) {
         // Ignored.
     }
 }
--- a/src/test/java/starlingvalve/net/ReadinessTest.java
+++ b/src/test/java/starlingvalve/net/ReadinessTest.java
@@ -143,7 +143,7 @@
         discovery.up = true;
         discovery.listIsEmpty = true;
         CompletableFuture<Void> started;
-        try (StateLock other = StateLock.take(folder.resolve("state")).orElseThrow()) {
+        try (StateLock other = StateLock.tryAcquire(folder.resolve("state")).orElseThrow()) {
             sender = new Sender(read(settings()), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
             started = CompletableFuture.runAsync(() -> {
                 try {
--- a/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
+++ b/src/test/java/starlingvalve/net/RecordingSubmissionHandler.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+    public void submit(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
         ids.add(submission.id());
         budgets.add(submission.budgetMs());
         callback.accept(SubmissionServer.Verdict.accepted(mayBeReceived -> { }));
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -119,7 +119,7 @@
             for (String id : List.of("first", "faulty", "tried", "last")) {
                 unattempted(journal, id, "plain", 7, Optional.empty());
             }
-            List<AcceptedMessage> messages = List.copyOf(journal.held());
+            List<AcceptedMessage> messages = List.copyOf(journal.liveMessages());
             JournalTest.attempt(journal, messages.get(2),
                     new AcceptedMessage.Attempt("s-0", System.currentTimeMillis()));
         }
--- a/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
@@ -61,8 +61,8 @@
             }
 
             @Override
-            public boolean begins(Endpoints.Call call) {
-                if (call.held.id.equals("other")) {
+            public boolean callStarting(Endpoints.Call call) {
+                if (call.message.id.equals("other")) {
                     whileOtherBegins.run();
                 }
                 return true;
@@ -76,7 +76,7 @@
             @Override
             public void ended(Endpoints.Call call, Outcome outcome, boolean messageEnded, double retryAfterMs,
                     boolean exchangeOpen) {
-                ends.add(new End(call.held.id, outcome));
+                ends.add(new End(call.message.id, outcome));
             }
         });
         updateEndpoint(RETRY_AFTER_ENDPOINT, retryAfterServer.address());
@@ -94,9 +94,9 @@
     }
 
     private void call(String id, long endpoint) {
-        AcceptedMessage held =
+        AcceptedMessage message =
                 new AcceptedMessage(0, id, "order", "t", Optional.empty(), Optional.empty(), 7, 0, new byte[5]);
-        endpoints.call(held, 0, endpoint, TIMEOUT_MS);
+        endpoints.call(message, 0, endpoint, TIMEOUT_MS);
         endpoints.flush();
     }
 
--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -219,7 +219,7 @@
             Files.copy(folder.resolve("state/journal"), copy.resolve("journal"),
                     StandardCopyOption.REPLACE_EXISTING);
             try (Journal journal = new Journal(copy, 3_000_000, 12)) {
-                return List.copyOf(journal.held());
+                return List.copyOf(journal.liveMessages());
             }
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -241,7 +241,7 @@
                 JournalTest.attempt(journal, accepted, new AcceptedMessage.Attempt("s-0", nowMs - attemptAgoMs));
             }
             if (notice) {
-                journal.owed(accepted, new AcceptedMessage.Notice(true, 700));
+                journal.noticePending(accepted, new AcceptedMessage.Notice(true, 700));
             }
             return accepted;
         }
--- a/src/test/java/starlingvalve/net/SubmissionServerTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -161,7 +161,7 @@
         final List<Consumer<SubmissionServer.Verdict>> callbacks = new ArrayList<>();
 
         @Override
-        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+        public void submit(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
             callbacks.add(callback);
         }
     }
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -84,7 +84,7 @@
         }
 
         @Override
-        public void gone() {
+        public void predecessorEnded() {
             // This successor never owns the journal.
         }
     }
@@ -107,7 +107,7 @@
     @Timeout(30)
     void exceptionInListeningReturnsOwnershipToPredecessor() throws Exception {
         FailingTakeoverCallbacks callbacks = new FailingTakeoverCallbacks();
-        try (StateLock lock = StateLock.take(folder).orElseThrow();
+        try (StateLock lock = StateLock.tryAcquire(folder).orElseThrow();
                 ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                         .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
             Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
@@ -142,7 +142,7 @@
                 }
             }
         };
-        StateLock lock = StateLock.take(folder).orElseThrow();
+        StateLock lock = StateLock.tryAcquire(folder).orElseThrow();
         try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
             Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
@@ -156,7 +156,7 @@
                     assertTrue(connection.read(buffer) >= 0, "the connection has ended without a line");
                 }
                 // As the predecessor does before it closes the connection.
-                StateLock.take(folder).orElseThrow(() -> new AssertionError("the successor has the lock")).close();
+                StateLock.tryAcquire(folder).orElseThrow(() -> new AssertionError("the successor has the lock")).close();
             }
             StubServer.await("the successor owns once the predecessor has ended", () -> ownCalls.get() == 2);
             assertEquals(0, callbacks.failures.get());
@@ -174,7 +174,7 @@
                 ownCalls.incrementAndGet();
             }
         };
-        StateLock lock = StateLock.take(folder).orElseThrow();
+        StateLock lock = StateLock.tryAcquire(folder).orElseThrow();
         try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
             Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
--- a/src/test/java/starlingvalve/net/TakeoverTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverTest.java
@@ -76,14 +76,14 @@
         }
 
         @Override
-        public void gone() {
+        public void predecessorEnded() {
             events.add("gone");
         }
     };
 
     @BeforeEach
     void open() throws Exception {
-        lock = StateLock.take(folder).orElseThrow();
+        lock = StateLock.tryAcquire(folder).orElseThrow();
         predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")));
         Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
