--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -279,7 +279,7 @@
         accept(message).destination.demand.add();
     }
 
-    /** An accepted message is kept as long as possible; a rejected one may find room at another sender. */
+    /** An accepted message is kept as long as possible; a rejected one may be accepted elsewhere. */
     @Override
     public OptionalDouble admissionRetryAfter(double now, Message message) {
         advanceClock(now);
@@ -465,7 +465,7 @@
         }
         List<Delivery> ranked = new ArrayList<>();
         for (Delivery delivery : queue) {
-            if (delivery.destination.eligible && delivery.notBefore <= clock && keyOrder.mayGo(delivery)) {
+            if (delivery.destination.eligible && delivery.notBefore <= clock && keyOrder.allows(delivery)) {
                 delivery.rank = delivery.rank();
                 ranked.add(delivery);
             }
@@ -492,7 +492,7 @@
         });
     }
 
-    /** The cheapest endpoint that passes {@link #maySend}; a hedge goes elsewhere if it can. */
+    /** The cheapest endpoint that passes {@link #maySend}; a hedge avoids those already called, if it can. */
     private Optional<EndpointState> chooseEndpoint(Delivery delivery, boolean hedge) {
         EndpointState best = null;
         boolean elsewhere = hedge && delivery.destination.members.stream()
@@ -513,7 +513,7 @@
         return !delivery.ended && endpoint.canTakeCall() && clock < delivery.deadline - ANSWER_MARGIN_MS
                 && delivery.attempts.size() < settings.maxAttempts()
                 && mayRepeat(delivery, endpoint, null)
-                && keyOrder.mayGo(delivery)
+                && keyOrder.allows(delivery)
                 && (!delivery.lastRefused || delivery.attemptsInFlight > 0 || retryThrottle.allows())
                 && clock + endpoint.expectedCallMs(delivery.type) <= callsEndBy;
     }
@@ -825,22 +825,22 @@
         boolean eligible; // within dispatch(): whether it can still take a call in this turn
         double rankHorizonMs;
         int recovered;
-        int troubled;
+        int refusedOrRepeated; // of the recovered messages
 
-        /** Prepares for a recovered message: detects an outage, and expedites what is unattempted. */
+        /** Prepares for a recovered message: detects an outage, and expedites an unattempted message. */
         void messageRecovered(Delivery delivery) {
             boolean unattempted = delivery.attempts.isEmpty();
             recovered++;
-            troubled += delivery.attempts.size() > 1
+            refusedOrRepeated += delivery.attempts.size() > 1
                     || !unattempted && !delivery.attempts.get(0).mayHaveRun ? 1 : 0;
-            // After a restart in an outage all would go at once to endpoints that may just come back cold:
+            // After a restart in an outage all would be sent at once to endpoints that may just return cold:
             // where most messages were refused or repeated, probes come first.
             timers.add(clock, () -> {
-                if (troubled >= UNAVAILABLE_FAILURES && 2 * troubled > recovered) {
+                if (refusedOrRepeated >= UNAVAILABLE_FAILURES && 2 * refusedOrRepeated > recovered) {
                     members.forEach(endpoint -> endpoint.markDown("had trouble before the restart"));
                 }
             });
-            // Each goes ahead of the pacing rate, spread at random over the first half of its time left.
+            // Each is sent ahead of the pacing rate, spread at random over the first half of its time left.
             if (unattempted) {
                 timers.add(clock + random.nextDouble() * delivery.message.timeLeftMs() / 2,
                         () -> expedite(delivery));
@@ -849,7 +849,7 @@
 
         private void expedite(Delivery delivery) {
             delivery.expedited = !delivery.ended && delivery.attempts.isEmpty();
-            if (delivery.expedited && keyOrder.mayGo(delivery)) {
+            if (delivery.expedited && keyOrder.allows(delivery)) {
                 members.forEach(e -> e.limiter.nextCallAt = Math.min(e.limiter.nextCallAt, clock));
             } else if (delivery.expedited) {
                 timers.add(clock + FIRST_BACKOFF_MS, () -> expedite(delivery));
@@ -980,11 +980,11 @@
         }
 
         private double minRate() {
-            double usualMinimum = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
+            double minimum = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
             double unlisted = listedRate > 0 ? 0
                     : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, intervalGrowths));
             return Math.max(unlisted,
-                    usualMinimum / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
+                    minimum / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
         }
 
         /** Number of endpoints that share this limit. */
@@ -1052,7 +1052,7 @@
 
         /** Cost of a send, as time: latency with calls in flight, failures in a row, and the fee. */
         double cost(Delivery delivery) {
-            // A due probe goes first, or the endpoint might stay down forever; unsafe messages avoid it.
+            // A due probe is sent first, or the endpoint might stay down forever; unsafe messages avoid it.
             if (circuit == Circuit.DOWN) {
                 return (delivery.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
@@ -1088,7 +1088,7 @@
             return serving && !inMaintenance;
         }
 
-        /** An endpoint in maintenance is restarted: it comes back cold, with a probe that goes first. */
+        /** An endpoint in maintenance is restarted: afterwards it is cold, and gets a probe first. */
         void setInMaintenance(boolean maintenance) {
             inMaintenance = maintenance;
             actions.closeIdle(entry.id());
@@ -1260,11 +1260,11 @@
             }
         }
 
-        private void markUp(String symptom) {
+        private void markUp(String reason) {
             circuit = Circuit.UP;
             nextCallAt = clock;
             deliveredRate.resume();
-            actions.log("endpoint " + entry.id() + " " + symptom);
+            actions.log("endpoint " + entry.id() + " " + reason);
         }
 
         private void markDown(String symptom) {
@@ -1283,7 +1283,7 @@
     /**
      * How long a connection may be idle and still be used. Guards against connections that are dropped
      * silently: after losses on idle ones at two destinations, connections that were idle nearly as long are
-     * closed before the next call, whatever drops them, until a call over one as long idle is delivered.
+     * closed before the next call, whatever drops them, until a connection idle for as long delivers a call.
      */
     private final class IdleConnectionTrust {
         private Optional<Call> suspect = Optional.empty(); // lost call with the shortest idle time
--- a/src/main/java/starlingvalve/KeyOrder.java
+++ b/src/main/java/starlingvalve/KeyOrder.java
@@ -59,7 +59,7 @@
     }
 
     /** Whether a message is the first of its key and no other call of the key may still run. */
-    boolean mayGo(Item item) {
+    boolean allows(Item item) {
         return queueOf(item).map(queue -> queue.waiting.peek() == item && queue.callsInFlight == item.callsInFlight()
                 && queue.quarantinedUntil <= clock.getAsDouble()).orElse(true);
     }
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -81,8 +81,8 @@
          * Called once for each call, when it has ended.
          *
          * @param messageEnded whether the answer says that the message has ended, whatever else is known of it
-         * @param retryAfterMs the Retry-After of the answer in milliseconds; 0 if there is none, or if the call delivered its
-         *     message
+         * @param retryAfterMs the Retry-After of the answer in milliseconds; 0 if there is none, or if the call
+         *     delivered its message
          * @param exchangeOpen whether the exchange of the call is still in flight for other calls
          */
         void ended(Call call, Outcome outcome, boolean messageEnded, double retryAfterMs, boolean exchangeOpen);
@@ -138,7 +138,7 @@
         NOT_KEPT,
         /** The endpoint announced the close in its answer. */
         NOT_KEPT_ALIVE,
-        /** Bytes or the end of the stream arrived before a request was sent, or it turned out to be idle for too long. */
+        /** Bytes or the end of the stream arrived before a request was sent, or it had been idle for too long. */
         UNUSABLE,
         /** Bytes arrived that belong to no answer. */
         STRAY_INPUT,
@@ -382,7 +382,7 @@
         private boolean begun;
         /** No longer waited for: it has timed out, is cancelled, or was withheld. */
         private boolean abandoned;
-        /** Its end was reported while its exchange was in flight; {@link Callbacks#exchangeEnded} is still to be called. */
+        /** Its end was reported while its exchange was in flight; {@link Callbacks#exchangeEnded} is yet to follow. */
         private boolean endedWhileOpen;
         /** Set when the outcome is decided. */
         private AttemptReport report;
@@ -405,7 +405,7 @@
             return Math.max(1, (long) (timeoutMs - (System.nanoTime() - startedNanos) / 1e6));
         }
 
-        /** Whether its first byte may be written; asks {@link Callbacks#callStarting} until that has allowed it once. */
+        /** Whether its first byte may be written; asks {@link Callbacks#callStarting} until it has allowed that. */
         private boolean mayBegin() {
             begun = begun || callbacks.callStarting(this);
             return begun;
@@ -695,7 +695,7 @@
                     keepAlive);
             if (status == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                     && refusal == AttemptOutcomes.Refusal.CONNECTION) {
-                // The connection table is full: idle connections keep other senders out, which can't tell this one.
+                // The connection table is full: other senders can't connect because of idle connections of this one.
                 crowdedKinds.add(peer.kind);
             }
             connection.hasAnswered = true;
@@ -754,7 +754,8 @@
             BatchAnswer answer = new BatchAnswer(body.toString(StandardCharsets.ISO_8859_1));
             proven = isBatchReport ? provesOutcome(answer) : provesOutcome();
             if (isBatchReport && proven) {
-                calls.forEach(call -> call.answered(AttemptOutcomes.reported(answer.word(call.message.id)), retryAfterMs));
+                calls.forEach(
+                        call -> call.answered(AttemptOutcomes.reported(answer.word(call.message.id)), retryAfterMs));
             } else {
                 AttemptOutcomes.Result result =
                         AttemptOutcomes.answered(scanner.status(), proven, refusal, calls.size());
--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -22,8 +22,8 @@
 import java.util.function.Consumer;
 
 /**
- * The old side of an upgrade: waits for a successor process, sends it the state of this process, and forwards later
- * events to it. Until the successor reports that it owns the journal, the local action of each forwarded event is kept
+ * The predecessor's side of an upgrade: waits for a successor process, sends it the state of this process, and forwards
+ * later events to it. Until the successor reports that it owns the journal, the local action of each forwarded event is kept
  * and runs here if the successor fails.
  */
 final class Handover {
--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -171,7 +171,8 @@
      */
     private void recordAttempts(AcceptedMessage message, int attempts) {
         while (message.journalledAttempts < attempts) {
-            appendOrDefer(message, JournalRecord.attempt(message, message.attempts.get(message.journalledAttempts), false));
+            appendOrDefer(message,
+                    JournalRecord.attempt(message, message.attempts.get(message.journalledAttempts), false));
             message.journalledAttempts++;
         }
     }
--- a/src/main/java/starlingvalve/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -180,7 +180,8 @@
 
     /** Whether the first answer is still awaited and is not overdue for a process that has just started. */
     private boolean awaitsFirstAnswer(long now) {
-        return !answeredOnce && (unansweredSince.isEmpty() || isWithin(now, unansweredSince, policy.startupAnswerTimeoutMs()));
+        return !answeredOnce
+                && (unansweredSince.isEmpty() || isWithin(now, unansweredSince, policy.startupAnswerTimeoutMs()));
     }
 
     private static boolean isWithin(long now, OptionalLong since, long ms) {
--- a/src/main/java/starlingvalve/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -30,7 +30,8 @@
     /**
      * Whether and when messages of a class may be sent again.
      *
-     * @param dedupWindowMs the time after the first attempt within which endpoints discard duplicates of a keyed message
+     * @param dedupWindowMs the time after the first attempt within which endpoints discard duplicates of a keyed
+     *     message
      */
     record RepeatPolicy(DeliveryPolicy.Effect effect, double dedupWindowMs) {
     }
@@ -53,7 +54,7 @@
     /** Whether the first byte of this attempt may be written now; {@code attempt} is its index. */
     boolean maySend(AcceptedMessage message, int attempt) {
         if (message.ended || message.endReceived) {
-            return forbid(Violation.SENT_AFTER_END, message);
+            return reportViolation(Violation.SENT_AFTER_END, message);
         }
         Optional<RepeatPolicy> policy = classes.apply(message.messageClass);
         long firstSentMs = Long.MAX_VALUE;
@@ -67,22 +68,22 @@
             return true;
         }
         return switch (policy.get().effect()) {
-            case UNSAFE -> forbid(Violation.REPEATED_ONCE_ONLY, message);
+            case UNSAFE -> reportViolation(Violation.REPEATED_ONCE_ONLY, message);
             case KEYED -> clockMs.getAsLong() - firstSentMs <= policy.get().dedupWindowMs()
-                    || forbid(Violation.REPEATED_AFTER_WINDOW, message);
+                    || reportViolation(Violation.REPEATED_AFTER_WINDOW, message);
             case SAFE -> true;
         };
     }
 
     /** Whether the message may end now; each message ends only once. */
     boolean mayEnd(AcceptedMessage message) {
-        return !message.ended || forbid(Violation.ENDED_TWICE, message);
+        return !message.ended || reportViolation(Violation.ENDED_TWICE, message);
     }
 
     /** Checks that the platform, which has just answered the notice of a message's end, did so in time. */
     void endAcknowledged(AcceptedMessage message) {
         if (clockMs.getAsLong() - message.deadlineMs > MAX_LATENESS_MS) {
-            forbid(Violation.ENDED_LATE, message);
+            reportViolation(Violation.ENDED_LATE, message);
         }
     }
 
@@ -100,7 +101,7 @@
         return counts.getOrDefault(violation, 0L);
     }
 
-    private boolean forbid(Violation violation, AcceptedMessage message) {
+    private boolean reportViolation(Violation violation, AcceptedMessage message) {
         counts.merge(violation, 1L, Long::sum);
         events.add("rule-violated", "rule", violation, "id", message.id, "class", message.messageClass, "attempts",
                 message.attempts.size(), "left_ms", message.deadlineMs - clockMs.getAsLong());
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -23,8 +23,8 @@
 
 /**
  * Sends the platform a notice of each message that was accepted and not delivered, oldest first, several in one
- * request. Each notice is repeated until the platform has acknowledged it. The number of pending notices is bounded by the
- * journal, which holds each message whose notice is not acknowledged yet.
+ * request. Each notice is repeated until the platform has acknowledged it. The number of pending notices is bounded by
+ * the journal, which holds each message whose notice is not acknowledged yet.
  */
 final class NoticeClient {
     /** Maximum body of one request, below the protocol's 64 KiB; a single notice always fits. */
@@ -189,8 +189,8 @@
         } else if (status == 204 || unreadable) {
             sendNotices();
         } else {
-            events.add("notice-failed", "status", status, "notices", reported.size(), "owed", pendingNotices.size(), "here",
-                    agent.failedLocally());
+            events.add("notice-failed", "status", status, "notices", reported.size(), "owed", pendingNotices.size(),
+                    "here", agent.failedLocally());
             loop.schedule(this::sendNotices, RETRY_PAUSE_MS, TimeUnit.MILLISECONDS);
         }
     }
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Starts the takeover, unless the process was told to end before it owned the journal. */
+    /** Starts the takeover, unless a shutdown was requested before this process owned the journal. */
     private void takeOver() {
         if (!shuttingDown) {
             takeover.begin();
@@ -382,8 +382,8 @@
     }
 
     /**
-     * Makes the policy agree with the journal, which is authoritative whatever happened to the snapshot on its way
-     * here: messages that the policy lacks are recovered as after a restart, and it drops those that have ended.
+     * Makes the policy agree with the journal, which is authoritative even if the snapshot is incomplete or out of
+     * date: messages that the policy lacks are recovered as after a restart, and it drops those that have ended.
      */
     private void reconcile(double ageMs) {
         Set<Long> inPolicy = policy.openMessages();
@@ -516,8 +516,9 @@
                 messageOverdueDuringHandover(accepted);
                 return;
             }
-            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told", accepted.acceptanceAcknowledged, "attempts",
-                    accepted.attempts.size(), "module", policy.openMessages().contains(accepted.number));
+            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told",
+                    accepted.acceptanceAcknowledged, "attempts", accepted.attempts.size(), "module",
+                    policy.openMessages().contains(accepted.number));
             giveUp(accepted, FAULT_RETRY_AFTER_MS);
         });
     }
@@ -589,7 +590,7 @@
         turnOpen = false;
         isolate(endpoints::flush);
         if (!completed) {
-            // Otherwise the work left over, including the next wake-up, would wait for an event that may never occur.
+            // Otherwise the remaining work, including the next wake-up, would wait for an event that may never occur.
             loop.schedule(this::openTurn, TURN_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -639,7 +640,8 @@
         if (call != null) {
             endpoints.cancel(call);
         } else if (predecessorCalls.isInFlight(new AttemptId(message, attempt))) {
-            takeover.sendToPredecessor(HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
+            takeover.sendToPredecessor(
+                    HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
         }
     }
 
@@ -766,7 +768,7 @@
             AttemptReport report = call.report();
             events.add("attempt-ended", "id", call.message.id, "attempt", call.attempt, "endpoint",
                     call.message.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
-                    "status", report.status(), "messages", report.messages(), "left", report.left(), "over",
+                    "status", report.status(), "messages", report.messages(), "left", report.abandoned(), "over",
                     messageEnded, "wait_ms", Math.round(waitMs), "took_ms", Math.round(tookMs), "list",
                     call.message.attempts.get(call.attempt).listGeneration);
         }
@@ -831,7 +833,7 @@
     }
 
     /**
-     * Ends a message as delivered by the answer to a call that a message had left before. The platform doesn't count
+     * Ends a message as delivered by the answer to a call of which an attempt was abandoned. The platform doesn't count
      * every such answer, so a notice is sent too; it does no harm where the platform counts the answer.
      */
     private void confirmDelivery(AcceptedMessage accepted) {
@@ -844,7 +846,7 @@
         }
     }
 
-    /** Ends a message by an answer that came after its attempt had left the call and ended with another outcome. */
+    /** Ends a message by an answer that came after its attempt was abandoned and had ended with another outcome. */
     private void endByLateAnswer(AcceptedMessage accepted, boolean delivered) {
         if (delivered) {
             confirmDelivery(accepted);
@@ -954,7 +956,8 @@
             if (handover.isForwarding()) {
                 ObjectNode line = HandoverConnection.line("submit");
                 line.set("submission", HandoverConnection.JSON.valueToTree(submission));
-                handover.forwardRequest(line, reply -> callback.accept(verdict(reply)), () -> submit(submission, callback));
+                handover.forwardRequest(line, reply -> callback.accept(verdict(reply)),
+                        () -> submit(submission, callback));
                 return;
             }
             callback.accept(Sender.this.admit(submission));
@@ -970,8 +973,10 @@
                 return SubmissionServer.Verdict.refused(reply.path("reason").asText("not now"),
                         reply.path("waitMs").asDouble());
             }
-            return SubmissionServer.Verdict.accepted(acknowledged -> handover.forward(HandoverConnection.line("answered")
-                    .put("message", reply.path("message").asLong()).put("heard", acknowledged), () -> { }));
+            return SubmissionServer.Verdict.accepted(acknowledged -> handover.forward(
+                    HandoverConnection.line("answered").put("message", reply.path("message").asLong())
+                            .put("heard", acknowledged),
+                    () -> { }));
         }
     }
 
@@ -1129,7 +1134,8 @@
         /** Forwards a command to the successor that takes over the journal; rejects it before this process owns it. */
         private void forward(ObjectNode line, Consumer<OperatorServer.Answer> callback, Runnable localAction) {
             if (!ownsJournal) {
-                callback.accept(OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
+                callback.accept(
+                        OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
                 return;
             }
             handover.forwardRequest(line, reply -> callback.accept(new OperatorServer.Answer(
@@ -1248,8 +1254,9 @@
 
         /** Logs what this process holds at each step; the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
-            events.add("handover", "phase", phase, "open", openMessages.size(), "module", policy.openMessages().size(), "calls",
-                    callsInFlight.size(), "notices", notices.pendingNotices(), "closing", shuttingDown);
+            events.add("handover", "phase", phase, "open", openMessages.size(), "module",
+                    policy.openMessages().size(), "calls", callsInFlight.size(), "notices", notices.pendingNotices(), "closing",
+                    shuttingDown);
         }
     }
 
@@ -1427,7 +1434,8 @@
                     // The message has run already, so it does not matter whether its client receives this answer.
                     takeover.sendToPredecessor(reply.put("message", NO_MESSAGE));
                 } else {
-                    takeover.sendToPredecessor(reply.put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
+                    takeover.sendToPredecessor(reply
+                            .put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
                             .put("reason", verdict.reason()).put("waitMs", verdict.waitMs()));
                 }
             } catch (IOException | RuntimeException e) {
@@ -1545,7 +1553,7 @@
             }
         }).syncUninterruptibly();
         acceptorGroup.shutdownGracefully(1, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
-        // With no quiet time at all the loop may end in the turn in which it is told, its connections still open.
+        // Without a quiet period the loop may end in the pass that requests its shutdown, with connections open.
         group.shutdownGracefully(1, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/starlingvalve/net/StateLock.java
+++ b/src/main/java/starlingvalve/net/StateLock.java
@@ -20,7 +20,7 @@
         this.channel = channel;
     }
 
-    /** Takes the lock; returns nothing if another owner has it, in this process or another one. */
+    /** Acquires the lock; returns nothing if another owner has it, in this process or another one. */
     static Optional<StateLock> tryAcquire(Path folder) throws IOException {
         FileChannel channel = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE,
                 StandardOpenOption.WRITE);
@@ -30,7 +30,7 @@
                 return Optional.of(new StateLock(channel));
             }
         } catch (OverlappingFileLockException heldInThisProcess) {
-            // An owner in this process counts like one in another process.
+            // An owner in this process is treated like one in another process.
         } catch (IOException e) {
             channel.close();
             throw e;
--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -87,14 +87,15 @@
      *
      * @param reason why the message is not accepted; empty if it is
      * @param waitMs time for which the client should not submit again, sent as {@code Retry-After}; 0 if unknown
-     * @param answerListener called once the answer of an accepted message is written, or can't be: with whether the client
-     *     may have received it
+     * @param answerListener called once the answer of an accepted message is written, or can't be: with whether the
+     *     client may have received it
      */
     record Verdict(Decision decision, String reason, double waitMs, Consumer<Boolean> answerListener) {
         /**
          * An accepted message.
          *
-         * @param answerListener called with whether the client may have received the answer; with false if it never will
+         * @param answerListener called with whether the client may have received the answer; with false if it never
+         *     will
          */
         static Verdict accepted(Consumer<Boolean> answerListener) {
             return new Verdict(Decision.ACCEPTED, "", 0, answerListener);
@@ -140,8 +141,8 @@
         boolean needsKey(String messageClass);
 
         /**
-         * Journals a message or refuses it; if a message with its id is open already, that one is kept. Calls
-         * {@code callback} once.
+         * Journals a message or rejects it; if a message with its id is open already, that one is kept. Calls
+         * {@code callback} once, with the verdict.
          */
         void submit(Submission submission, Consumer<Verdict> callback);
 
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The new side of an upgrade: makes this process the owner of the journal, which a predecessor hands over or has left.
+ * The successor's side of an upgrade: makes this process the owner of the journal, which the predecessor hands over.
  * If there is no predecessor, if only its socket is left, or if it ends during the handover, the lock is free and this
  * process starts as after a restart.
  */
@@ -119,7 +119,7 @@
         callbacks.failed(cause);
     }
 
-    /** Takes the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a lock in use. */
+    /** Acquires the lock if it is free; a brief failure, such as a lack of file descriptors, counts as a lock in use. */
     private Optional<StateLock> tryAcquireLock() throws IOException {
         try {
             Optional<StateLock> lock = StateLock.tryAcquire(stateFolder);
@@ -208,9 +208,9 @@
     }
 
     /**
-     * Returns ownership to the predecessor. It has released the lock, and takes it back before it closes the
-     * connection: until then this process must not take the free lock. If the predecessor does not know this line, or
-     * hangs, this process closes the connection after {@link #PREDECESSOR_TIMEOUT_MS}.
+     * Returns ownership to the predecessor, which has released the lock, and acquires it again before it closes the
+     * connection: until then this process must not acquire the free lock. If the predecessor does not know this line,
+     * or hangs, this process closes the connection after {@link #PREDECESSOR_TIMEOUT_MS}.
      */
     private void decline(HandoverConnection from) {
         if (connection == from) {
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -499,8 +499,8 @@
     @Test
     void unreadBytesMakeConnectionUnusable() throws Exception {
         for (String stray : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "\r\n")) {
-            AcceptedMessage message = new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(), Optional.empty(), 7,
-                    0, new byte[1]);
+            AcceptedMessage message = new AcceptedMessage(2, "id-2", "order", "t", Optional.empty(),
+                    Optional.empty(), 7, 0, new byte[1]);
             assertOutcome(Outcome.DELIVERED, this::answerAndRecordSocket);
             awaitIdleConnection();
             int used = stub.requests.get(stub.requests.size() - 1).connection();
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -123,7 +123,8 @@
             predecessor.accepted(accepted(predecessor, "later"));
         }
         try (Journal reopened = new Journal(state, JOURNAL_BYTES, 12)) {
-            assertEquals(List.of("first", "later"), reopened.liveMessages().stream().map(accepted -> accepted.id).toList());
+            assertEquals(List.of("first", "later"),
+                    reopened.liveMessages().stream().map(accepted -> accepted.id).toList());
         }
     }
 
--- a/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
+++ b/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
@@ -202,7 +202,8 @@
 
     /** Returns the ids and the recorded attempts of messages, in order. */
     private static List<String> describe(List<AcceptedMessage> messages) {
-        return messages.stream().map(message -> message.id + message.attempts.subList(0, message.journalledAttempts).stream()
+        return messages.stream().map(message -> message.id
+                + message.attempts.subList(0, message.journalledAttempts).stream()
                 .map(attempt -> attempt.endpoint + (attempt.neverRan ? "-" : "+")).toList()).toList();
     }
 }
--- a/src/test/java/starlingvalve/net/JournalTest.java
+++ b/src/test/java/starlingvalve/net/JournalTest.java
@@ -187,7 +187,8 @@
                 journal.accepted(newMessage(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.liveMessages().size(), "a record appended after a torn tail must be read again");
+                assertEquals(2, journal.liveMessages().size(),
+                        "a record appended after a torn tail must be read again");
             }
         }
         Files.write(file, whole);
@@ -340,7 +341,8 @@
                     assertEquals(Optional.of(FinishedMessage.Result.DELIVERED), result(journal, id));
                 }
                 assertEquals(List.of("unheard"), journal.liveMessages().stream().map(message -> message.id).toList());
-                assertEquals(AcceptedMessage.Notice.CONFIRMATION, journal.liveMessages().iterator().next().pendingNotice.orElseThrow());
+                assertEquals(AcceptedMessage.Notice.CONFIRMATION,
+                        journal.liveMessages().iterator().next().pendingNotice.orElseThrow());
                 for (long before = 0; journal.size() >= before;) {
                     before = journal.size();
                     journal.ended(accept(journal, "filler-" + before, 0), FinishedMessage.Result.DELIVERED);
--- a/src/test/java/starlingvalve/net/ListLeaseTest.java
+++ b/src/test/java/starlingvalve/net/ListLeaseTest.java
@@ -315,7 +315,8 @@
             ListLeasePolicy policy = ListLeasePolicy.of(true, graceMs);
             double budgetMs = Math.max(60, graceMs + 50 - 150);
             assertTrue(policy.leaseMs() <= budgetMs && policy.silenceMs() <= budgetMs, policy.toString());
-            assertTrue(policy.answerTimeoutMs() >= 20 && policy.answerTimeoutMs() < policy.checkIntervalMs(), policy.toString());
+            assertTrue(policy.answerTimeoutMs() >= 20 && policy.answerTimeoutMs() < policy.checkIntervalMs(),
+                    policy.toString());
             assertTrue(policy.checkIntervalMs() + policy.answerTimeoutMs() <= policy.silenceMs(),
                     "checks overlap while the agent is silent");
         }
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -114,7 +114,8 @@
         this.messages = messages;
         this.stopped = stopped;
         this.busy = number == 0 || random.nextBoolean();
-        agent.beforeNoticesAnswered(lines -> lines.forEach(line -> keyOrderChecker.ended(idOf(line), System.nanoTime())));
+        agent.beforeNoticesAnswered(
+                lines -> lines.forEach(line -> keyOrderChecker.ended(idOf(line), System.nanoTime())));
         agent.afterNoticesAnswered(this::noticesAcknowledged);
     }
 
--- a/src/test/java/starlingvalve/net/SurplusAnswerTest.java
+++ b/src/test/java/starlingvalve/net/SurplusAnswerTest.java
@@ -207,8 +207,8 @@
     }
 
     private static void sendRequest(AgentConnection agent, CompletableFuture<Integer> status, Runnable onAnswer) {
-        agent.sendRequest(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"), (long) LONG_TIMEOUT_MS,
-                answer -> {
+        agent.sendRequest(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports"),
+                (long) LONG_TIMEOUT_MS, answer -> {
                     status.complete(answer.map(response -> response.status().code()).orElse(0));
                     onAnswer.run();
                 });
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -156,7 +156,8 @@
                     assertTrue(connection.read(buffer) >= 0, "the connection has ended without a line");
                 }
                 // As the predecessor does before it closes the connection.
-                StateLock.tryAcquire(folder).orElseThrow(() -> new AssertionError("the successor has the lock")).close();
+                StateLock.tryAcquire(folder)
+                        .orElseThrow(() -> new AssertionError("the successor has the lock")).close();
             }
             StubServer.await("the successor owns once the predecessor has ended", () -> ownCalls.get() == 2);
             assertEquals(0, callbacks.failures.get());
