--- a/src/main/java/starlingvalve/DeliveryPolicy.java
+++ b/src/main/java/starlingvalve/DeliveryPolicy.java
@@ -332,7 +332,7 @@
     /**
      * A message as it was accepted.
      *
-     * @param key the ordering key, for classes whose messages go out in order
+     * @param key the ordering key, for classes whose messages are sent in order
      * @param timeLeftMs the time left until the message's deadline
      */
     record Message(long id, int messageClass, int tenant, Optional<String> key, double timeLeftMs,
--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -759,7 +759,6 @@
                     mayHaveRun, inFlight, call.filter(c -> inFlight)
                             .map(c -> calls.computeIfAbsent(c, unseen -> (long) calls.size())).orElse(-1L));
         }
-
     }
 
     /** One request: its messages share a slot and the outcome that counts for the endpoint's health. */
@@ -886,7 +885,6 @@
         double nextCallAt() {
             return Math.max(clock, nextCallTimes().min().orElse(clock));
         }
-
     }
 
     /** Pacing rate and retry-after of one limit; prevents refusals, and calls before a retry-after ends. */
--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -91,7 +91,7 @@
     }
 
     /** Whether a list from discovery is held, so that discovery has answered since the start. */
-    boolean answered() {
+    boolean hasAnswered() {
         return list.isFromDiscovery();
     }
 
@@ -107,7 +107,7 @@
 
     /** Passes the current list to the listener. An empty list is passed only if it comes from discovery. */
     void publishList() {
-        if (answered() || !list.isEmpty()) {
+        if (hasAnswered() || !list.isEmpty()) {
             list.notifyListener();
         }
     }
@@ -119,7 +119,7 @@
 
     /** Loads the list of the predecessor process, unless discovery has already answered. */
     void usePredecessorList(JsonNode predecessorList) {
-        if (!answered() && predecessorList.path("instances").isArray()) {
+        if (!hasAnswered() && predecessorList.path("instances").isArray()) {
             list.loadKnown(predecessorList, EndpointList.Source.OLD_PROCESS);
         }
     }
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -746,7 +746,6 @@
             return keepAlive && surplus.isEmpty() && proven;
         }
 
-
         /** Ends all calls by the complete answer, which also counts for the messages of abandoned calls. */
         private void conclude() {
             boolean isBatchReport = status == HttpResponseStatus.OK.code() && calls.size() > 1;
--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -23,8 +23,8 @@
 
 /**
  * The predecessor's side of an upgrade: waits for a successor process, sends it the state of this process, and forwards
- * later events to it. Until the successor reports that it owns the journal, the local action of each forwarded event is kept
- * and runs here if the successor fails.
+ * later events to it. Until the successor reports that it owns the journal, the local action of each forwarded event is
+ * kept, and runs here if the successor fails.
  */
 final class Handover {
     /** What the sender does in each step of a handover. */
--- a/src/main/java/starlingvalve/net/OperatorServer.java
+++ b/src/main/java/starlingvalve/net/OperatorServer.java
@@ -65,10 +65,10 @@
         /** The current metrics, as text. */
         String statsText();
 
-        /** Takes an endpoint out of service for maintenance, or puts it back. */
+        /** Puts an endpoint in maintenance, or back in service. */
         void setMaintenance(String endpoint, boolean inMaintenance, Consumer<Answer> callback);
 
-        /** Starts or stops draining: while drained, the sender sends clients away. */
+        /** Starts or stops draining: while drained, the sender closes the connections of its clients. */
         void drain(boolean on, Consumer<Answer> callback);
     }
 
--- a/src/main/java/starlingvalve/net/PredecessorCalls.java
+++ b/src/main/java/starlingvalve/net/PredecessorCalls.java
@@ -69,7 +69,7 @@
         return known;
     }
 
-    /** Returns the attempts in flight, whose ends nobody will report if the predecessor has ended. */
+    /** Returns the attempts in flight, whose ends are not reported any more if the predecessor has ended. */
     List<AttemptId> attemptsInFlight() {
         return new ArrayList<>(inFlight);
     }
@@ -98,7 +98,7 @@
     }
 
     /** Returns the number of attempts in flight. */
-    int size() {
+    int inFlightCount() {
         return inFlight.size();
     }
 }
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -362,8 +362,8 @@
             }
         }
         isolate(() -> policy.restore(openTurn(), turnTimeMs - ageMs, snapshot));
-        Log.line(config.name() + " took over " + openMessages.size() + " messages, with " + predecessorCalls.size()
-                + " calls out");
+        Log.line(config.name() + " took over " + openMessages.size() + " messages, with "
+                + predecessorCalls.inFlightCount() + " calls out");
         reconcile(ageMs);
     }
 
@@ -388,7 +388,7 @@
     private void reconcile(double ageMs) {
         Set<Long> inPolicy = policy.openMessages();
         events.add("takeover", "age_ms", Math.round(ageMs), "open", openMessages.size(), "module", inPolicy.size(),
-                "calls", predecessorCalls.size(), "notices", notices.pendingNotices());
+                "calls", predecessorCalls.inFlightCount(), "notices", notices.pendingNotices());
         long steadyNowMs = journal.clock().nowMs();
         for (AcceptedMessage accepted : openMessages.all()) {
             if (accepted.acceptanceAcknowledged && !inPolicy.contains(accepted.number)) {
@@ -1255,8 +1255,8 @@
         /** Logs what this process holds at each step; the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
             events.add("handover", "phase", phase, "open", openMessages.size(), "module",
-                    policy.openMessages().size(), "calls", callsInFlight.size(), "notices", notices.pendingNotices(), "closing",
-                    shuttingDown);
+                    policy.openMessages().size(), "calls", callsInFlight.size(), "notices",
+                    notices.pendingNotices(), "closing", shuttingDown);
         }
     }
 
@@ -1267,7 +1267,7 @@
 
         @Override
         public boolean prepared() {
-            return discovery.answered() || System.nanoTime() - startNanos >= PREPARE_LIMIT_NANOS;
+            return discovery.hasAnswered() || System.nanoTime() - startNanos >= PREPARE_LIMIT_NANOS;
         }
 
         @Override
@@ -1456,9 +1456,9 @@
          */
         @Override
         public void predecessorEnded() {
-            Log.line("the old process is gone, with " + predecessorCalls.size() + " calls out");
-            events.add("predecessor-gone", "calls", predecessorCalls.size(), "open", openMessages.size(), "module",
-                    policy.openMessages().size(), "unanswered", unansweredSubmissions.size());
+            Log.line("the old process is gone, with " + predecessorCalls.inFlightCount() + " calls out");
+            events.add("predecessor-gone", "calls", predecessorCalls.inFlightCount(), "open", openMessages.size(),
+                    "module", policy.openMessages().size(), "unanswered", unansweredSubmissions.size());
             for (AttemptId attempt : predecessorCalls.attemptsInFlight()) {
                 isolate(() -> predecessorAttemptEnded(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0,
                         false));
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The successor's side of an upgrade: makes this process the owner of the journal, which the predecessor hands over.
- * If there is no predecessor, if only its socket is left, or if it ends during the handover, the lock is free and this
- * process starts as after a restart.
+ * The successor's side of an upgrade: makes this process the owner of the journal, which the predecessor hands over. If
+ * there is no predecessor, if it has ended and only its socket file remains, or if it ends during the handover, the
+ * lock is free and this process starts as after a restart.
  */
 final class Takeover {
     /** Interval between attempts to become the owner. */
@@ -119,7 +119,7 @@
         callbacks.failed(cause);
     }
 
-    /** Acquires the lock if it is free; a brief failure, such as a lack of file descriptors, counts as a lock in use. */
+    /** Acquires the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a used lock. */
     private Optional<StateLock> tryAcquireLock() throws IOException {
         try {
             Optional<StateLock> lock = StateLock.tryAcquire(stateFolder);
--- a/src/main/java/starlingvalve/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -79,7 +79,7 @@
         return withinLimit;
     }
 
-    /** A delivery policy with endpoints and messages of its own, whose sends go nowhere. */
+    /** A delivery policy with endpoints and messages of its own, whose sends reach no endpoint. */
     private final class SimulatedPolicy implements DeliveryPolicy.Actions {
         /** Attempts in flight, each as the numbers of its message and of the attempt. */
         private final Deque<long[]> inFlight = new ArrayDeque<>();
