--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -492,7 +492,7 @@
         });
     }
 
-    /** The cheapest endpoint that passes {@link #maySend}; a hedge avoids those already called, if it can. */
+    /** The cheapest endpoint that passes {@link #maySend}; if possible, a hedge uses another endpoint. */
     private Optional<EndpointState> chooseEndpoint(Delivery delivery, boolean hedge) {
         EndpointState best = null;
         boolean elsewhere = hedge && delivery.destination.members.stream()
@@ -670,14 +670,14 @@
         boolean unacknowledged; // ended by an answer that is not acknowledged; its key waits until it is
         boolean expedited; // recovered, unattempted, and now due ahead of the pacing rate
 
-        Delivery(Message message, double now) {
+        Delivery(Message message, double asOf) {
             if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
                 throw new IllegalArgumentException("unknown class " + message.messageClass());
             }
             this.message = message;
             this.type = settings.classes().get(message.messageClass());
             this.destination = destinations.computeIfAbsent(message.destination(), id -> new Destination());
-            this.deadline = now + message.timeLeftMs();
+            this.deadline = asOf + message.timeLeftMs();
             this.latencyTargetAt = deadline - type.deadlineMs() + type.latencyTargetMs();
         }
 
