--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -258,12 +258,12 @@
     }
 
     @Override
-    public void setMaintenance(double now, long endpointId, boolean out) {
+    public void setMaintenance(double now, long endpointId, boolean maintenance) {
         advanceClock(now);
-        boolean changed = out ? inMaintenance.add(endpointId) : inMaintenance.remove(endpointId);
+        boolean changed = maintenance ? inMaintenance.add(endpointId) : inMaintenance.remove(endpointId);
         EndpointState endpoint = endpointsById.get(endpointId);
         if (changed && endpoint != null) {
-            endpoint.setInMaintenance(out);
+            endpoint.setInMaintenance(maintenance);
         }
     }
 
@@ -279,7 +279,7 @@
         accept(message).destination.demand.add();
     }
 
-    /** An accepted message is kept as long as possible; a rejected one may find room at another sender. */
+    /** An accepted message is kept as long as possible; a rejected one may be accepted elsewhere. */
     @Override
     public OptionalDouble admissionRetryAfter(double now, Message message) {
         advanceClock(now);
@@ -465,7 +465,7 @@
         }
         List<Delivery> ranked = new ArrayList<>();
         for (Delivery delivery : queue) {
-            if (delivery.destination.eligible && delivery.notBefore <= clock && keyOrder.mayGo(delivery)) {
+            if (delivery.destination.eligible && delivery.notBefore <= clock && keyOrder.allows(delivery)) {
                 delivery.rank = delivery.rank();
                 ranked.add(delivery);
             }
@@ -492,7 +492,7 @@
         });
     }
 
-    /** The cheapest endpoint that passes {@link #maySend}; a hedge goes elsewhere if it can. */
+    /** The cheapest endpoint that passes {@link #maySend}; if possible, a hedge uses another endpoint. */
     private Optional<EndpointState> chooseEndpoint(Delivery delivery, boolean hedge) {
         EndpointState best = null;
         boolean elsewhere = hedge && delivery.destination.members.stream()
@@ -513,7 +513,7 @@
         return !delivery.ended && endpoint.canTakeCall() && clock < delivery.deadline - ANSWER_MARGIN_MS
                 && delivery.attempts.size() < settings.maxAttempts()
                 && mayRepeat(delivery, endpoint, null)
-                && keyOrder.mayGo(delivery)
+                && keyOrder.allows(delivery)
                 && (!delivery.lastRefused || delivery.attemptsInFlight > 0 || retryThrottle.allows())
                 && clock + endpoint.expectedCallMs(delivery.type) <= callsEndBy;
     }
@@ -670,14 +670,14 @@
         boolean unacknowledged; // ended by an answer that is not acknowledged; its key waits until it is
         boolean expedited; // recovered, unattempted, and now due ahead of the pacing rate
 
-        Delivery(Message message, double at) {
+        Delivery(Message message, double asOf) {
             if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
                 throw new IllegalArgumentException("unknown class " + message.messageClass());
             }
             this.message = message;
             this.type = settings.classes().get(message.messageClass());
             this.destination = destinations.computeIfAbsent(message.destination(), id -> new Destination());
-            this.deadline = at + message.timeLeftMs();
+            this.deadline = asOf + message.timeLeftMs();
             this.latencyTargetAt = deadline - type.deadlineMs() + type.latencyTargetMs();
         }
 
@@ -759,7 +759,6 @@
                     mayHaveRun, inFlight, call.filter(c -> inFlight)
                             .map(c -> calls.computeIfAbsent(c, unseen -> (long) calls.size())).orElse(-1L));
         }
-
     }
 
     /** One request: its messages share a slot and the outcome that counts for the endpoint's health. */
@@ -774,7 +773,7 @@
         boolean overdue;
 
         Call(EndpointState endpoint) {
-            this(endpoint, clock, turn, idleConnections.take(endpoint));
+            this(endpoint, clock, turn, idleConnections.idleMsForCall(endpoint));
             endpoint.lastUsedAt = clock;
         }
 
@@ -825,22 +824,22 @@
         boolean eligible; // within dispatch(): whether it can still take a call in this turn
         double rankHorizonMs;
         int recovered;
-        int troubled;
+        int refusedOrRepeated; // of the recovered messages
 
-        /** Prepares for a recovered message: detects an outage, and expedites what is unattempted. */
+        /** Prepares for a recovered message: detects an outage, and expedites an unattempted message. */
         void messageRecovered(Delivery delivery) {
             boolean unattempted = delivery.attempts.isEmpty();
             recovered++;
-            troubled += delivery.attempts.size() > 1
+            refusedOrRepeated += delivery.attempts.size() > 1
                     || !unattempted && !delivery.attempts.get(0).mayHaveRun ? 1 : 0;
-            // After a restart in an outage all would go at once to endpoints that may just come back cold:
+            // After a restart in an outage all would be sent at once to endpoints that may just return cold:
             // where most messages were refused or repeated, probes come first.
             timers.add(clock, () -> {
-                if (troubled >= UNAVAILABLE_FAILURES && 2 * troubled > recovered) {
+                if (refusedOrRepeated >= UNAVAILABLE_FAILURES && 2 * refusedOrRepeated > recovered) {
                     members.forEach(endpoint -> endpoint.markDown("had trouble before the restart"));
                 }
             });
-            // Each goes ahead of the pacing rate, spread at random over the first half of its time left.
+            // Each is sent ahead of the pacing rate, spread at random over the first half of its time left.
             if (unattempted) {
                 timers.add(clock + random.nextDouble() * delivery.message.timeLeftMs() / 2,
                         () -> expedite(delivery));
@@ -849,7 +848,7 @@
 
         private void expedite(Delivery delivery) {
             delivery.expedited = !delivery.ended && delivery.attempts.isEmpty();
-            if (delivery.expedited && keyOrder.mayGo(delivery)) {
+            if (delivery.expedited && keyOrder.allows(delivery)) {
                 members.forEach(e -> e.limiter.nextCallAt = Math.min(e.limiter.nextCallAt, clock));
             } else if (delivery.expedited) {
                 timers.add(clock + FIRST_BACKOFF_MS, () -> expedite(delivery));
@@ -886,7 +885,6 @@
         double nextCallAt() {
             return Math.max(clock, nextCallTimes().min().orElse(clock));
         }
-
     }
 
     /** Pacing rate and retry-after of one limit; prevents refusals, and calls before a retry-after ends. */
@@ -980,11 +978,11 @@
         }
 
         private double minRate() {
-            double own = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
+            double minimum = Math.max(MIN_RATE_DEMAND_SHARE * neededRate(), LISTED_RATE_SHARE * evenRate());
             double unlisted = listedRate > 0 ? 0
                     : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, intervalGrowths));
             return Math.max(unlisted,
-                    own / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
+                    minimum / Math.pow(SEND_INTERVAL_GROWTH, Math.max(0, refusalsInRow - MIN_RATE_REFUSALS)));
         }
 
         /** Number of endpoints that share this limit. */
@@ -1052,7 +1050,7 @@
 
         /** Cost of a send, as time: latency with calls in flight, failures in a row, and the fee. */
         double cost(Delivery delivery) {
-            // A due probe goes first, or the endpoint might stay down forever; unsafe messages avoid it.
+            // A due probe is sent first, or the endpoint might stay down forever; unsafe messages avoid it.
             if (circuit == Circuit.DOWN) {
                 return (delivery.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
@@ -1088,11 +1086,11 @@
             return serving && !inMaintenance;
         }
 
-        /** An endpoint in maintenance is restarted: it comes back cold, with a probe that goes first. */
-        void setInMaintenance(boolean out) {
-            inMaintenance = out;
+        /** An endpoint in maintenance is restarted: afterwards it is cold, and gets a probe first. */
+        void setInMaintenance(boolean maintenance) {
+            inMaintenance = maintenance;
             actions.closeIdle(entry.id());
-            if (!out) {
+            if (!maintenance) {
                 failureScore = 0;
                 failures = 0;
                 silentCalls = 0;
@@ -1260,11 +1258,11 @@
             }
         }
 
-        private void markUp(String symptom) {
+        private void markUp(String reason) {
             circuit = Circuit.UP;
             nextCallAt = clock;
             deliveredRate.resume();
-            actions.log("endpoint " + entry.id() + " " + symptom);
+            actions.log("endpoint " + entry.id() + " " + reason);
         }
 
         private void markDown(String symptom) {
@@ -1283,7 +1281,7 @@
     /**
      * How long a connection may be idle and still be used. Guards against connections that are dropped
      * silently: after losses on idle ones at two destinations, connections that were idle nearly as long are
-     * closed before the next call, whatever drops them, until a call over one as long idle is delivered.
+     * closed before the next call, whatever drops them, until a connection idle for as long delivers a call.
      */
     private final class IdleConnectionTrust {
         private Optional<Call> suspect = Optional.empty(); // lost call with the shortest idle time
@@ -1291,7 +1289,7 @@
         private boolean confirmed;
 
         /** Idle time of the connection that a new call uses: 0 if it is new, or not idle. */
-        double take(EndpointState endpoint) {
+        double idleMsForCall(EndpointState endpoint) {
             double idleMs = endpoint.callsInFlight > 0 ? 0 : clock - endpoint.lastUsedAt;
             if (clock > lastLossAt + LOSS_MEMORY_MS) {
                 suspect = Optional.empty();
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Starts the takeover, unless the process was told to end before it owned the journal. */
+    /** Starts the takeover, unless a shutdown was requested before this process owned the journal. */
     private void takeOver() {
         if (!shuttingDown) {
             takeover.begin();
@@ -271,7 +271,7 @@
         }
         ownsJournal = true;
         ready = snapshot.isPresent();
-        discovery.tell();
+        discovery.publishList();
         if (snapshot.isPresent()) {
             restorePredecessorState(state.get(), snapshot.get());
         }
@@ -344,16 +344,16 @@
         Set<Long> inSnapshot = new HashSet<>();
         for (DeliveryPolicy.MessageSnapshot message : snapshot.messages()) {
             inSnapshot.add(message.message().id());
-            predecessorCalls.openCalls(message.message().id(), message.openCalls());
+            predecessorCalls.addOpenCalls(message.message().id(), message.openCalls());
             for (int i = 0; i < message.attempts().size(); i++) {
                 if (message.attempts().get(i).out()) {
-                    predecessorCalls.out(new AttemptId(message.message().id(), i));
+                    predecessorCalls.addAttempt(new AttemptId(message.message().id(), i));
                 }
             }
         }
         Predicate<AcceptedMessage> acknowledged = acknowledgedByClients(state, inSnapshot);
-        for (AcceptedMessage accepted : journal.held()) {
-            predecessorCalls.held(accepted);
+        for (AcceptedMessage accepted : journal.liveMessages()) {
+            predecessorCalls.addMessage(accepted);
             if (accepted.ended) {
                 notices.enqueue(accepted);
             } else {
@@ -362,8 +362,8 @@
             }
         }
         isolate(() -> policy.restore(openTurn(), turnTimeMs - ageMs, snapshot));
-        Log.line(config.name() + " took over " + openMessages.size() + " messages, with " + predecessorCalls.size()
-                + " calls out");
+        Log.line(config.name() + " took over " + openMessages.size() + " messages, with "
+                + predecessorCalls.inFlightCount() + " calls out");
         reconcile(ageMs);
     }
 
@@ -382,13 +382,13 @@
     }
 
     /**
-     * Makes the policy agree with the journal, which is authoritative whatever happened to the snapshot on its way
-     * here: messages that the policy lacks are recovered as after a restart, and it drops those that have ended.
+     * Makes the policy agree with the journal, which is authoritative even if the snapshot is incomplete or out of
+     * date: messages that the policy lacks are recovered as after a restart, and it drops those that have ended.
      */
     private void reconcile(double ageMs) {
         Set<Long> inPolicy = policy.openMessages();
         events.add("takeover", "age_ms", Math.round(ageMs), "open", openMessages.size(), "module", inPolicy.size(),
-                "calls", predecessorCalls.size(), "notices", notices.owed());
+                "calls", predecessorCalls.inFlightCount(), "notices", notices.pendingNotices());
         long steadyNowMs = journal.clock().nowMs();
         for (AcceptedMessage accepted : openMessages.all()) {
             if (accepted.acceptanceAcknowledged && !inPolicy.contains(accepted.number)) {
@@ -436,7 +436,7 @@
      */
     private void replayJournal() {
         long steadyNowMs = journal.clock().nowMs();
-        for (AcceptedMessage accepted : journal.held()) {
+        for (AcceptedMessage accepted : journal.liveMessages()) {
             if (accepted.ended) {
                 replayNotice(accepted, steadyNowMs);
             } else {
@@ -516,8 +516,9 @@
                 messageOverdueDuringHandover(accepted);
                 return;
             }
-            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told", accepted.acceptanceAcknowledged, "attempts",
-                    accepted.attempts.size(), "module", policy.openMessages().contains(accepted.number));
+            events.add("overdue", "id", accepted.id, "class", accepted.messageClass, "told",
+                    accepted.acceptanceAcknowledged, "attempts", accepted.attempts.size(), "module",
+                    policy.openMessages().contains(accepted.number));
             giveUp(accepted, FAULT_RETRY_AFTER_MS);
         });
     }
@@ -589,7 +590,7 @@
         turnOpen = false;
         isolate(endpoints::flush);
         if (!completed) {
-            // Otherwise the work left over, including the next wake-up, would wait for an event that may never occur.
+            // Otherwise the remaining work, including the next wake-up, would wait for an event that may never occur.
             loop.schedule(this::openTurn, TURN_RETRY_MS, TimeUnit.MILLISECONDS);
         }
     }
@@ -639,7 +640,8 @@
         if (call != null) {
             endpoints.cancel(call);
         } else if (predecessorCalls.isInFlight(new AttemptId(message, attempt))) {
-            takeover.tell(HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
+            takeover.sendToPredecessor(
+                    HandoverConnection.line("cancel").put("message", message).put("attempt", attempt));
         }
     }
 
@@ -680,7 +682,7 @@
         markEnded(accepted, notice.bounced() ? Stats.End.REFUSED : Stats.End.FAILED);
         events.add("notice-owed", "id", accepted.id, "class", accepted.messageClass, "bounced", notice.bounced(),
                 "attempts", accepted.attempts.size(), "left_ms", accepted.deadlineMs - journal.clock().nowMs());
-        journal.owed(accepted, notice);
+        journal.noticePending(accepted, notice);
         notices.enqueue(accepted);
     }
 
@@ -690,7 +692,7 @@
     private final class EndpointCallbacks implements Endpoints.Callbacks {
         @Override
         public boolean mayBeginAttempt(Endpoints.Call call) {
-            return policy.mayBeginAttempt(now(), call.held.number, call.attempt);
+            return policy.mayBeginAttempt(now(), call.message.number, call.attempt);
         }
 
         @Override
@@ -707,21 +709,21 @@
          * established when the process was killed certainly has not run.
          */
         @Override
-        public boolean begins(Endpoints.Call call) {
-            if (!rules.maySend(call.held, call.attempt)) {
+        public boolean callStarting(Endpoints.Call call) {
+            if (!rules.maySend(call.message, call.attempt)) {
                 return false;
             }
             try {
-                journal.begins(call.held, call.attempt);
+                journal.attemptStarting(call.message, call.attempt);
             } catch (IOException e) {
                 // An attempt that is not recorded could be repeated after a restart, and so run twice.
                 Log.line("an attempt is not made, since the journal can't record it: " + e.getMessage());
                 return false;
             }
-            unattempted.called(call.held.number);
+            unattempted.called(call.message.number);
             if (call.attempt > 0) {
-                events.add("retry", "id", call.held.id, "attempt", call.attempt, "endpoint",
-                        call.held.attempts.get(call.attempt).endpoint);
+                events.add("retry", "id", call.message.id, "attempt", call.attempt, "endpoint",
+                        call.message.attempts.get(call.attempt).endpoint);
             }
             return true;
         }
@@ -729,20 +731,20 @@
         @Override
         public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded, double waitMs,
                 boolean callOpen) {
-            callsInFlight.remove(new AttemptId(call.held.number, call.attempt));
+            callsInFlight.remove(new AttemptId(call.message.number, call.attempt));
             double tookMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (outcome != DeliveryPolicy.Outcome.DELIVERED) {
                 logUndelivered(call, outcome, messageEnded, waitMs, tookMs);
             }
             boolean needsConfirmation = call.report().wasPartlyAbandoned();
-            Runnable localAction = () -> attemptEnded(call.held, call.attempt, outcome, messageEnded,
+            Runnable localAction = () -> attemptEnded(call.message, call.attempt, outcome, messageEnded,
                     needsConfirmation, waitMs, tookMs, callOpen);
             if (handover.isForwarding()) {
-                ObjectNode line = HandoverConnection.line("ended").put("message", call.held.number)
+                ObjectNode line = HandoverConnection.line("ended").put("message", call.message.number)
                         .put("attempt", call.attempt).put("outcome", outcome.name()).put("gone", messageEnded)
                         .put("confirm", needsConfirmation).put("waitMs", waitMs).put("tookMs", tookMs)
                         .put("open", callOpen);
-                handover.tell(line, localAction);
+                handover.forward(line, localAction);
             } else {
                 localAction.run();
             }
@@ -750,11 +752,11 @@
 
         @Override
         public void messageEndedAfterCall(Endpoints.Call call, boolean delivered) {
-            events.add("over-after-end", "id", call.held.id, "attempt", call.attempt, "endpoint",
-                    call.held.attempts.get(call.attempt).endpoint, "delivered", delivered);
-            Runnable localAction = () -> Sender.this.endByLateAnswer(call.held, delivered);
+            events.add("over-after-end", "id", call.message.id, "attempt", call.attempt, "endpoint",
+                    call.message.attempts.get(call.attempt).endpoint, "delivered", delivered);
+            Runnable localAction = () -> Sender.this.endByLateAnswer(call.message, delivered);
             if (handover.isForwarding()) {
-                handover.tell(HandoverConnection.line("over").put("message", call.held.number)
+                handover.forward(HandoverConnection.line("over").put("message", call.message.number)
                         .put("delivered", delivered), localAction);
             } else {
                 localAction.run();
@@ -764,11 +766,11 @@
         private void logUndelivered(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded,
                 double waitMs, double tookMs) {
             AttemptReport report = call.report();
-            events.add("attempt-ended", "id", call.held.id, "attempt", call.attempt, "endpoint",
-                    call.held.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
-                    "status", report.status(), "messages", report.messages(), "left", report.left(), "over",
+            events.add("attempt-ended", "id", call.message.id, "attempt", call.attempt, "endpoint",
+                    call.message.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
+                    "status", report.status(), "messages", report.messages(), "left", report.abandoned(), "over",
                     messageEnded, "wait_ms", Math.round(waitMs), "took_ms", Math.round(tookMs), "list",
-                    call.held.attempts.get(call.attempt).listGeneration);
+                    call.message.attempts.get(call.attempt).listGeneration);
         }
 
         @Override
@@ -783,7 +785,7 @@
         public void retryAfterReceived(long endpoint, double waitMs) {
             Runnable localAction = () -> isolate(() -> policy.retryAfterReceived(openTurn(), endpoint, waitMs));
             if (handover.isForwarding()) {
-                handover.tell(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
+                handover.forward(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
                         localAction);
             } else {
                 localAction.run();
@@ -796,10 +798,10 @@
         }
 
         @Override
-        public void closed(Endpoints.Call call) {
-            Runnable localAction = () -> isolate(() -> policy.callEnded(openTurn(), call.held.number));
+        public void exchangeEnded(Endpoints.Call call) {
+            Runnable localAction = () -> isolate(() -> policy.callEnded(openTurn(), call.message.number));
             if (handover.isForwarding()) {
-                handover.tell(HandoverConnection.line("closed").put("message", call.held.number), localAction);
+                handover.forward(HandoverConnection.line("closed").put("message", call.message.number), localAction);
             } else {
                 localAction.run();
             }
@@ -831,7 +833,7 @@
     }
 
     /**
-     * Ends a message as delivered by the answer to a call that a message had left before. The platform doesn't count
+     * Ends a message as delivered by the answer to a call of which an attempt was abandoned. The platform doesn't count
      * every such answer, so a notice is sent too; it does no harm where the platform counts the answer.
      */
     private void confirmDelivery(AcceptedMessage accepted) {
@@ -844,7 +846,7 @@
         }
     }
 
-    /** Ends a message by an answer that came after its attempt had left the call and ended with another outcome. */
+    /** Ends a message by an answer that came after its attempt was abandoned and had ended with another outcome. */
     private void endByLateAnswer(AcceptedMessage accepted, boolean delivered) {
         if (delivered) {
             confirmDelivery(accepted);
@@ -879,7 +881,7 @@
      * Passes a new endpoint list, or its changed entries, to the registry, the connections, the journal and the policy.
      */
     private void endpointListChanged(boolean complete, List<EndpointList.Entry> entries) {
-        if (!ownsJournal || handover.left()) {
+        if (!ownsJournal || handover.isHandedOver()) {
             return;
         }
         List<DeliveryPolicy.Endpoint> changed = new ArrayList<>();
@@ -890,7 +892,7 @@
         }
         for (EndpointList.Entry entry : entries) {
             long number = registry.number(entry.id());
-            registry.list(number, entry.destination(), entry.gone());
+            registry.recordEntry(number, entry.destination(), entry.deleted());
             unlisted.remove(number);
             journal.withdrawn(entry.id(), !entry.serving());
             int kind = Math.max(0, config.kinds().indexOf(entry.kind()));
@@ -915,7 +917,7 @@
     private final class ClientCallbacks implements SubmissionServer.SubmissionHandler {
         @Override
         public boolean ready() {
-            return ready && (!shuttingDown || handover.left());
+            return ready && (!shuttingDown || handover.isHandedOver());
         }
 
         @Override
@@ -940,7 +942,7 @@
         }
 
         @Override
-        public void closed(SubmissionServer.CloseReason reason, boolean underRequest, String cause) {
+        public void connectionClosed(SubmissionServer.CloseReason reason, boolean underRequest, String cause) {
             events.add("client-closed", "reason", reason, "under_request", underRequest, "cause", cause);
         }
 
@@ -950,11 +952,12 @@
         }
 
         @Override
-        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+        public void submit(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
             if (handover.isForwarding()) {
                 ObjectNode line = HandoverConnection.line("submit");
                 line.set("submission", HandoverConnection.JSON.valueToTree(submission));
-                handover.ask(line, reply -> callback.accept(verdict(reply)), () -> take(submission, callback));
+                handover.forwardRequest(line, reply -> callback.accept(verdict(reply)),
+                        () -> submit(submission, callback));
                 return;
             }
             callback.accept(Sender.this.admit(submission));
@@ -970,8 +973,10 @@
                 return SubmissionServer.Verdict.refused(reply.path("reason").asText("not now"),
                         reply.path("waitMs").asDouble());
             }
-            return SubmissionServer.Verdict.accepted(acknowledged -> handover.tell(HandoverConnection.line("answered")
-                    .put("message", reply.path("message").asLong()).put("heard", acknowledged), () -> { }));
+            return SubmissionServer.Verdict.accepted(acknowledged -> handover.forward(
+                    HandoverConnection.line("answered").put("message", reply.path("message").asLong())
+                            .put("heard", acknowledged),
+                    () -> { }));
         }
     }
 
@@ -1049,7 +1054,7 @@
     /** The client has received the answer that its message was accepted ({@code acknowledged}), or never will. */
     private void submissionAnswered(AcceptedMessage accepted, boolean acknowledged) {
         if (handover.isForwarding()) {
-            handover.tell(
+            handover.forward(
                     HandoverConnection.line("answered").put("message", accepted.number).put("heard", acknowledged),
                     () -> submissionAnswered(accepted, acknowledged));
             return;
@@ -1129,10 +1134,11 @@
         /** Forwards a command to the successor that takes over the journal; rejects it before this process owns it. */
         private void forward(ObjectNode line, Consumer<OperatorServer.Answer> callback, Runnable localAction) {
             if (!ownsJournal) {
-                callback.accept(OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
+                callback.accept(
+                        OperatorServer.Answer.error(HttpResponseStatus.SERVICE_UNAVAILABLE, "does not serve yet"));
                 return;
             }
-            handover.ask(line, reply -> callback.accept(new OperatorServer.Answer(
+            handover.forwardRequest(line, reply -> callback.accept(new OperatorServer.Answer(
                     HttpResponseStatus.valueOf(reply.path("status").asInt(503)),
                     reply.path("text").asText("the new process is gone\n"))), localAction);
         }
@@ -1211,7 +1217,7 @@
         @Override
         public void unfreeze() throws IOException {
             if (lock == null) {
-                lock = StateLock.take(config.state()).orElseThrow(() -> new IOException("another process owns"));
+                lock = StateLock.tryAcquire(config.state()).orElseThrow(() -> new IOException("another process owns"));
             }
             journal.resume();
             continueOwning();
@@ -1230,7 +1236,7 @@
         }
 
         @Override
-        public void left() {
+        public void handedOver() {
             logHandover("LEFT");
             watchdog.suspend();
             openMessages.clear();
@@ -1248,8 +1254,9 @@
 
         /** Logs what this process holds at each step; the phases are those of {@link Handover}. */
         private void logHandover(String phase) {
-            events.add("handover", "phase", phase, "open", openMessages.size(), "module", policy.openMessages().size(), "calls",
-                    callsInFlight.size(), "notices", notices.owed(), "closing", shuttingDown);
+            events.add("handover", "phase", phase, "open", openMessages.size(), "module",
+                    policy.openMessages().size(), "calls", callsInFlight.size(), "notices",
+                    notices.pendingNotices(), "closing", shuttingDown);
         }
     }
 
@@ -1260,7 +1267,7 @@
 
         @Override
         public boolean prepared() {
-            return discovery.answered() || System.nanoTime() - startNanos >= PREPARE_LIMIT_NANOS;
+            return discovery.hasAnswered() || System.nanoTime() - startNanos >= PREPARE_LIMIT_NANOS;
         }
 
         @Override
@@ -1362,7 +1369,7 @@
                         line.path("open").asBoolean());
                 case "wait" -> isolate(() -> policy.retryAfterReceived(openTurn(), line.path("endpoint").asLong(),
                         line.path("waitMs").asDouble()));
-                case "over" -> predecessorCalls.held(message).ifPresent(
+                case "over" -> predecessorCalls.findMessage(message).ifPresent(
                         accepted -> endByLateAnswer(accepted, line.path("delivered").asBoolean()));
                 case "closed" -> predecessorCallClosed(message);
                 case "answered" -> submissionAnswered(message, line.path("heard").asBoolean());
@@ -1377,10 +1384,10 @@
 
         private void predecessorAttemptEnded(AttemptId attempt, DeliveryPolicy.Outcome outcome, boolean messageEnded,
                 boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
-            if (!predecessorCalls.ended(attempt, callOpen)) {
+            if (!predecessorCalls.attemptEnded(attempt, callOpen)) {
                 return;
             }
-            Optional<AcceptedMessage> accepted = predecessorCalls.held(attempt.message());
+            Optional<AcceptedMessage> accepted = predecessorCalls.findMessage(attempt.message());
             if (accepted.isPresent()) {
                 attemptEnded(accepted.get(), attempt.attempt(), outcome, messageEnded, needsConfirmation, waitMs,
                         tookMs, callOpen);
@@ -1392,7 +1399,7 @@
         }
 
         private void predecessorCallClosed(long message) {
-            if (predecessorCalls.closed(message)) {
+            if (predecessorCalls.callClosed(message)) {
                 isolate(() -> policy.callEnded(openTurn(), message));
             }
         }
@@ -1400,7 +1407,7 @@
         private void submissionAnswered(long message, boolean acknowledged) {
             Deque<SubmissionServer.Verdict> verdicts = unansweredSubmissions.get(message);
             if (verdicts == null) {
-                predecessorCalls.held(message).ifPresent(
+                predecessorCalls.findMessage(message).ifPresent(
                         accepted -> Sender.this.submissionAnswered(accepted, acknowledged));
                 return;
             }
@@ -1408,7 +1415,7 @@
             if (verdicts.isEmpty()) {
                 unansweredSubmissions.remove(message);
             }
-            verdict.answered().accept(acknowledged);
+            verdict.answerListener().accept(acknowledged);
         }
 
         private void handleSubmission(JsonNode line) {
@@ -1422,23 +1429,24 @@
                 if (verdict.accepted() && accepted.isPresent()) {
                     long number = accepted.get().number;
                     unansweredSubmissions.computeIfAbsent(number, message -> new ArrayDeque<>()).add(verdict);
-                    takeover.tell(reply.put("message", number));
+                    takeover.sendToPredecessor(reply.put("message", number));
                 } else if (verdict.accepted()) {
                     // The message has run already, so it does not matter whether its client receives this answer.
-                    takeover.tell(reply.put("message", NO_MESSAGE));
+                    takeover.sendToPredecessor(reply.put("message", NO_MESSAGE));
                 } else {
-                    takeover.tell(reply.put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
+                    takeover.sendToPredecessor(reply
+                            .put("failed", verdict.decision() == SubmissionServer.Decision.FAILED)
                             .put("reason", verdict.reason()).put("waitMs", verdict.waitMs()));
                 }
             } catch (IOException | RuntimeException e) {
                 Log.line("a submission passed on by the predecessor can't be handled: " + e);
-                takeover.tell(HandoverConnection.line("reply").put("n", line.path("n").asLong())
+                takeover.sendToPredecessor(HandoverConnection.line("reply").put("n", line.path("n").asLong())
                         .put("reason", "can't be read"));
             }
         }
 
         private void replyTo(JsonNode line, OperatorServer.Answer answer) {
-            takeover.tell(HandoverConnection.line("reply").put("n", line.path("n").asLong())
+            takeover.sendToPredecessor(HandoverConnection.line("reply").put("n", line.path("n").asLong())
                     .put("status", answer.status().code()).put("text", answer.text()));
         }
 
@@ -1447,10 +1455,10 @@
          * clients may have received their answers.
          */
         @Override
-        public void gone() {
-            Log.line("the old process is gone, with " + predecessorCalls.size() + " calls out");
-            events.add("predecessor-gone", "calls", predecessorCalls.size(), "open", openMessages.size(), "module",
-                    policy.openMessages().size(), "unanswered", unansweredSubmissions.size());
+        public void predecessorEnded() {
+            Log.line("the old process is gone, with " + predecessorCalls.inFlightCount() + " calls out");
+            events.add("predecessor-gone", "calls", predecessorCalls.inFlightCount(), "open", openMessages.size(),
+                    "module", policy.openMessages().size(), "unanswered", unansweredSubmissions.size());
             for (AttemptId attempt : predecessorCalls.attemptsInFlight()) {
                 isolate(() -> predecessorAttemptEnded(attempt, DeliveryPolicy.Outcome.BROKEN, false, false, 0, 0,
                         false));
@@ -1459,7 +1467,7 @@
             List<SubmissionServer.Verdict> unanswered =
                     unansweredSubmissions.values().stream().flatMap(Deque::stream).toList();
             unansweredSubmissions.clear();
-            unanswered.forEach(verdict -> isolate(() -> verdict.answered().accept(true)));
+            unanswered.forEach(verdict -> isolate(() -> verdict.answerListener().accept(true)));
             for (AcceptedMessage accepted : predecessorCalls.acceptedMessages()) {
                 if (!accepted.ended) {
                     isolate(() -> Sender.this.submissionAnswered(accepted, true));
@@ -1484,7 +1492,7 @@
                 stopped.countDown();
                 return;
             }
-            if (handover.left()) {
+            if (handover.isHandedOver()) {
                 awaitIdle(startedNanos);
                 return;
             }
@@ -1507,9 +1515,9 @@
 
     /** Finishes the shutdown once nothing is in flight or the time limit has passed. */
     private void awaitIdle(long startedNanos) {
-        boolean idle = handover.left()
+        boolean idle = handover.isHandedOver()
                 ? callsInFlight.isEmpty() && handover.unanswered() == 0 && submissionServer.isTerminated()
-                : openMessages.isEmpty() && notices.owed() == 0 && submissionServer.isTerminated()
+                : openMessages.isEmpty() && notices.pendingNotices() == 0 && submissionServer.isTerminated()
                         && !journal.hasDeferredRecords();
         if (idle) {
             finishShutdown();
@@ -1523,12 +1531,12 @@
 
     private void finishShutdown() {
         submissionServer.stopReading();
-        if (ownsJournal && !handover.left()) {
+        if (ownsJournal && !handover.isHandedOver()) {
             journal.writeDeferred();
         }
         events.flush();
         Log.line(config.name() + " ends; its journal holds " + openMessages.size() + " messages and "
-                + notices.owed() + " notices");
+                + notices.pendingNotices() + " notices");
         unattempted.close();
         handover.close();
         stopped.countDown();
@@ -1545,7 +1553,7 @@
             }
         }).syncUninterruptibly();
         acceptorGroup.shutdownGracefully(1, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
-        // With no quiet time at all the loop may end in the turn in which it is told, its connections still open.
+        // Without a quiet period the loop may end in the pass that requests its shutdown, with connections open.
         group.shutdownGracefully(1, 1000, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -19,9 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The new side of an upgrade: makes this process the owner of the journal, which a predecessor hands over or has left.
- * If there is no predecessor, if only its socket is left, or if it ends during the handover, the lock is free and this
- * process starts as after a restart.
+ * The successor's side of an upgrade: makes this process the owner of the journal, which the predecessor hands over. If
+ * there is no predecessor, if it has ended and only its socket file remains, or if it ends during the handover, the
+ * lock is free and this process starts as after a restart.
  */
 final class Takeover {
     /** Interval between attempts to become the owner. */
@@ -50,7 +50,7 @@
         void reported(JsonNode line);
 
         /** The predecessor has ended, and with it the connections of its calls in flight. */
-        void gone();
+        void predecessorEnded();
     }
 
     private final EventLoop loop;
@@ -83,7 +83,7 @@
             if (owner) {
                 return;
             }
-            Optional<StateLock> lock = takeLock();
+            Optional<StateLock> lock = tryAcquireLock();
             if (lock.isPresent()) {
                 owner = true;
                 ownWithoutState(lock.get());
@@ -119,10 +119,10 @@
         callbacks.failed(cause);
     }
 
-    /** Takes the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a lock in use. */
-    private Optional<StateLock> takeLock() throws IOException {
+    /** Acquires the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a used lock. */
+    private Optional<StateLock> tryAcquireLock() throws IOException {
         try {
-            Optional<StateLock> lock = StateLock.take(stateFolder);
+            Optional<StateLock> lock = StateLock.tryAcquire(stateFolder);
             retry.succeeded();
             return lock;
         } catch (IOException e) {
@@ -135,7 +135,7 @@
 
     /** Whether another process owns the journal now. */
     boolean isOwnedElsewhere() throws IOException {
-        Optional<StateLock> lock = takeLock();
+        Optional<StateLock> lock = tryAcquireLock();
         lock.ifPresent(StateLock::close);
         return lock.isEmpty();
     }
@@ -146,7 +146,7 @@
     }
 
     /** Sends a line to the predecessor, if it is still connected. */
-    void tell(ObjectNode line) {
+    void sendToPredecessor(ObjectNode line) {
         if (connection != null) {
             connection.send(line);
         }
@@ -208,9 +208,9 @@
     }
 
     /**
-     * Returns ownership to the predecessor. It has released the lock, and takes it back before it closes the
-     * connection: until then this process must not take the free lock. If the predecessor does not know this line, or
-     * hangs, this process closes the connection after {@link #PREDECESSOR_TIMEOUT_MS}.
+     * Returns ownership to the predecessor, which has released the lock, and acquires it again before it closes the
+     * connection: until then this process must not acquire the free lock. If the predecessor does not know this line,
+     * or hangs, this process closes the connection after {@link #PREDECESSOR_TIMEOUT_MS}.
      */
     private void decline(HandoverConnection from) {
         if (connection == from) {
@@ -229,7 +229,7 @@
             return;
         }
         try {
-            Optional<StateLock> lock = takeLock();
+            Optional<StateLock> lock = tryAcquireLock();
             if (lock.isEmpty()) {
                 decline(from);
                 return;
@@ -238,7 +238,7 @@
                 decline(from);
                 return;
             }
-            tell(HandoverConnection.line("own"));
+            sendToPredecessor(HandoverConnection.line("own"));
             earlyReports.forEach(report -> FaultIsolation.run(() -> callbacks.reported(report)));
             earlyReports.clear();
         } catch (IOException | RuntimeException | Error e) {
@@ -278,7 +278,7 @@
         earlyReports.clear();
         timeout.cancel(false);
         if (owner) {
-            callbacks.gone();
+            callbacks.predecessorEnded();
         } else {
             retryLater();
         }
--- a/src/main/java/starlingvalve/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -79,7 +79,7 @@
         return withinLimit;
     }
 
-    /** A delivery policy with endpoints and messages of its own, whose sends go nowhere. */
+    /** A delivery policy with endpoints and messages of its own, whose sends reach no endpoint. */
     private final class SimulatedPolicy implements DeliveryPolicy.Actions {
         /** Attempts in flight, each as the numbers of its message and of the attempt. */
         private final Deque<long[]> inFlight = new ArrayDeque<>();
@@ -198,7 +198,7 @@
                                         Optional.of("thread"), 1, 1, BODY);
                         journal.accepted(accepted);
                         accepted.attempts.add(new AcceptedMessage.Attempt("endpoint", 1));
-                        journal.begins(accepted, 0);
+                        journal.attemptStarting(accepted, 0);
                         if (i % 10 > 0) {
                             journal.ended(accepted, FinishedMessage.Result.DELIVERED);
                         } else {
@@ -275,7 +275,7 @@
         }
 
         @Override
-        public void take(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
+        public void submit(SubmissionServer.Submission submission, Consumer<SubmissionServer.Verdict> callback) {
             callback.accept(SubmissionServer.Verdict.accepted(acknowledged -> { }));
         }
     }
