--- a/src/test/java/starlingvalve/net/EventLogProcessTest.java
+++ b/src/test/java/starlingvalve/net/EventLogProcessTest.java
@@ -32,7 +32,8 @@
         assertEquals("HTTP/1.1 503 Service Unavailable",
                 sendRequest(sender.address(), request.replace("dest=7", "dest=8")).line());
         sender.awaitEvent("refused", "id=astray", "class=safe", "dest=8", "wait_ms=0");
-        assertEquals("HTTP/1.1 400 Bad Request", sendRequest(sender.address(), request.replace("dest=7", "nothing")).line());
+        assertEquals("HTTP/1.1 400 Bad Request",
+                sendRequest(sender.address(), request.replace("dest=7", "nothing")).line());
         sender.awaitEvent("request-rejected", "status=400", "reason=\"X-Envelope");
     }
 
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -212,8 +212,10 @@
     private SenderProcess newProcess() throws Exception {
         Path processFolder = Files.createDirectories(folder.resolve("process-" + processes.size()));
         SenderProcess process = new SenderProcess(processFolder, configure())
-                .withEnvironment("GW_STATE", folder.resolve("state").toString()).withEnvironment("TMPDIR", folder.toString())
-                .withEnvironment("GW_NAME", "n" + number).withEnvironment("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
+                .withEnvironment("GW_STATE", folder.resolve("state").toString())
+                .withEnvironment("TMPDIR", folder.toString())
+                .withEnvironment("GW_NAME", "n" + number)
+                .withEnvironment("GW_LISTEN", "127.0.0.1:" + listenAddress.getPort())
                 .withEnvironment("GW_OPS", "127.0.0.1:0");
         systemFaults.preload(process);
         processes.add(process);
@@ -237,7 +239,8 @@
 
     private static boolean serves(SenderProcess process) {
         try {
-            return SenderProcessFixture.sendRequest(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
+            return SenderProcessFixture
+                    .sendRequest(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
                     .line().contains(" 200 ");
         } catch (IOException | RuntimeException e) {
             return false;
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -159,7 +159,8 @@
 
     private static boolean serves(SenderProcess process) {
         try {
-            return SenderProcessFixture.sendRequest(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
+            return SenderProcessFixture
+                    .sendRequest(process.operatorsAddress(), "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
                     .line().contains(" 200 ");
         } catch (IOException e) {
             return false;
