--- a/src/main/java/starlingvalve/net/AfterPendingReads.java
+++ b/src/main/java/starlingvalve/net/AfterPendingReads.java
@@ -7,8 +7,8 @@
 /**
  * Runs timed tasks only after the event loop has read all input that had arrived by their due time. The loop reads
  * first and then runs the tasks that are due. During a long read phase a call's time-out may pass while its answer
- * arrives and stays unread. Therefore a task that is due is scheduled once more: the loop considers tasks that were
- * scheduled while it runs tasks only after its next read phase.
+ * arrives and stays unread. Therefore a task that is due is scheduled once more: a task that is scheduled while the
+ * loop runs tasks has its turn only after the next read phase.
  */
 final class AfterPendingReads {
     private AfterPendingReads() {
--- a/src/main/java/starlingvalve/net/AgentConnection.java
+++ b/src/main/java/starlingvalve/net/AgentConnection.java
@@ -32,7 +32,7 @@
  * closed. To detect such bytes right after an answer, the next request is delayed by a {@link QuietPeriod}.
  */
 final class AgentConnection implements Discovery.Source {
-    /** Connect time-out, part of a request's time limit. The kernel repeats a lost SYN only after 1 s. */
+    /** Connect time-out, included in a request's time limit. The kernel repeats a lost SYN only after 1 s. */
     static final int CONNECT_MS = 500;
     private static final int MAX_RESPONSE_BYTES = 4 << 20;
     private static final String CODEC = "codec";
@@ -54,9 +54,9 @@
     private final class Request {
         private final Consumer<Optional<FullHttpResponse>> callback;
         private Future<?> timer;
-        /** The request is assigned to the current connection, whose end therefore ends the request too. */
+        /** Whether the request is assigned to the current connection, whose end therefore ends the request too. */
         private boolean sent;
-        /** The last byte of the request is written, so an answer may arrive from now on. */
+        /** Whether the last byte of the request is written, so that an answer may arrive. */
         private boolean flushed;
 
         Request(Consumer<Optional<FullHttpResponse>> callback) {
--- a/src/main/java/starlingvalve/net/ClientAdmission.java
+++ b/src/main/java/starlingvalve/net/ClientAdmission.java
@@ -18,8 +18,8 @@
     }
 
     /**
-     * Admits and counts a connection, or returns false. Beyond the limit, an idle connection must be closed for each
-     * further one. As that one holds its file descriptor a little longer, at most
+     * Admits and counts a connection; returns false if it is not admitted. For each connection admitted beyond the
+     * limit, an idle one has to be closed. A closed connection holds its file descriptor a little longer, so at most
      * {@link DescriptorBudget#ACCEPT_BURST} connections are admitted beyond the limit.
      */
     boolean admit(Channel client) {
--- a/src/main/java/starlingvalve/net/Config.java
+++ b/src/main/java/starlingvalve/net/Config.java
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Path of the socket at which a process of a sender meets its successor. The path of a Unix domain socket must
-     * be short, so the file name is a hash of the state folder's path.
+     * Path of the Unix domain socket that a process of a sender and its successor use for the handover. Such a path
+     * must be short, so the file name contains a hash of the state folder's path.
      */
     private static Path handoverSocket(Map<String, String> env) throws InvalidInputException {
         Path folder = Path.of(env.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir")));
--- a/src/main/java/starlingvalve/net/ConfigReload.java
+++ b/src/main/java/starlingvalve/net/ConfigReload.java
@@ -9,9 +9,12 @@
 
 /** Reads a configuration that was replaced while the sender runs. */
 final class ConfigReload {
-    /** Reads of a file without a valid address; they must fit in the 4 s in which SIGHUP has to take effect. */
+    /**
+     * Limit on reads of a file without a valid address; all of them must fit in the 4 s in which SIGHUP has to take
+     * effect.
+     */
     private static final int MAX_READS = 20;
-    /** Attempts to open a file; there are many, since discovery's previous address will not answer again. */
+    /** Limit on attempts to open the file; it is high, since discovery's previous address will not answer again. */
     private static final int MAX_OPEN_ATTEMPTS = 600;
     private static final long RETRY_MS = 100;
 
--- a/src/main/java/starlingvalve/net/DeadlineWatchdog.java
+++ b/src/main/java/starlingvalve/net/DeadlineWatchdog.java
@@ -16,8 +16,8 @@
  */
 final class DeadlineWatchdog {
     /**
-     * Time after the deadline, by which the delivery policy ends a message, until the message counts as overdue; well
-     * below the time after which its end would count as late.
+     * Time after a message's deadline at which the message counts as overdue; the delivery policy should have ended
+     * it by the deadline. This is well below the delay at which the end of a message would count as late.
      */
     static final long GRACE_MS = 100;
 
--- a/src/main/java/starlingvalve/net/DescriptorBudget.java
+++ b/src/main/java/starlingvalve/net/DescriptorBudget.java
@@ -31,7 +31,7 @@
     private static final int FILES = 5;
     /** The listeners for clients, for operators and for a successor process, and the successor's connection. */
     private static final int LISTENERS = 4;
-    /** To discovery and for notices: those in use, and those given up while connecting; and those for checks. */
+    /** Connections to discovery and for notices, in use or given up while connecting, and those for lease checks. */
     private static final int AGENT_CONNECTIONS = 6 + ListLease.MAX_CHECKS;
     private static final int RESERVED_BESIDES_JVM = FILES + LISTENERS + AGENT_CONNECTIONS
             + OperatorServer.MAX_CONNECTIONS + 2 * ACCEPT_BURST;
--- a/src/main/java/starlingvalve/net/Discovery.java
+++ b/src/main/java/starlingvalve/net/Discovery.java
@@ -60,7 +60,7 @@
     private final Optional<ListLease> lease;
     private final LongSupplier nanoClock;
     private final EventLog events = EventLog.shared();
-    /** The last request had no usable answer. */
+    /** Whether the last request had no usable answer. */
     private boolean silent;
     /** The time at which the last request was sent. */
     private long requestNanos;
@@ -90,7 +90,7 @@
         request();
     }
 
-    /** Whether a list from discovery is held, so that discovery has answered since the start. */
+    /** Whether the held list comes from discovery, and its version is known. */
     boolean hasAnswered() {
         return list.isFromDiscovery();
     }
--- a/src/main/java/starlingvalve/net/DiscoveryRetryPolicy.java
+++ b/src/main/java/starlingvalve/net/DiscoveryRetryPolicy.java
@@ -49,7 +49,10 @@
     static final Timing WATCH = new Timing(2000, 2000, INTERVAL_MS);
     /** A request for the whole list, or a watch after a failure: the short wait leaves more time for the pause. */
     static final Timing PROMPT = new Timing(100, 2000, INTERVAL_MS);
-    /** The first request to a new address: if it fails, a second one is still answered within that budget. */
+    /**
+     * The first request to a new address: if it fails, a second one is still answered within
+     * {@link #ADDRESS_CHANGE_BUDGET_MS}.
+     */
     static final Timing NEW_ADDRESS =
             new Timing(0, 1500, ADDRESS_CHANGE_BUDGET_MS - AgentConnection.CONNECT_MS - LOOP_SLACK_MS);
 
@@ -66,20 +69,20 @@
         return timing;
     }
 
-    /** The request got a usable answer. */
+    /** Records that the request got a usable answer. */
     void succeeded() {
         failuresInARow = 0;
         timing = WATCH;
     }
 
-    /** Discovery has a new address: failures at the old address are not counted any more. */
+    /** Records that discovery has a new address: failures at the old address are not counted any more. */
     void addressChanged() {
         failuresInARow = 0;
         timing = NEW_ADDRESS;
     }
 
     /**
-     * The request failed, was refused or was given up.
+     * Records that the request failed, was refused or was given up.
      *
      * @param elapsedMs the time since it was sent
      * @return the pause before the next request
--- a/src/main/java/starlingvalve/net/EndpointList.java
+++ b/src/main/java/starlingvalve/net/EndpointList.java
@@ -42,7 +42,7 @@
      * @param id the platform's id of the endpoint
      * @param address null if the address of an endpoint that takes no new work can't be read
      * @param kind the machine type
-     * @param destination the number of the cell
+     * @param destination the number of its destination, which discovery calls the cell
      * @param serving whether the endpoint takes new work
      * @param deleted whether the endpoint is deleted
      */
@@ -107,7 +107,7 @@
     private final Map<String, JsonNode> entries = new LinkedHashMap<>();
     private long generation = UNKNOWN;
     private long queryCount;
-    /** The number of the last sent request among those whose answers were applied. */
+    /** The highest number of a request whose answer was applied. */
     private long lastAppliedQuery;
 
     EndpointList(Listener listener, EventLog events) {
--- a/src/main/java/starlingvalve/net/EventLoopListeners.java
+++ b/src/main/java/starlingvalve/net/EventLoopListeners.java
@@ -10,9 +10,9 @@
     }
 
     /**
-     * Passes the completed future to a listener on the event loop: in the thread that completes it if that is the loop,
-     * else as a task. If not even a socket could be created, because the machine has run out of file descriptors, the
-     * future is completed by another thread.
+     * Passes the completed future to a listener on the event loop: at once if the event loop completes the future, else
+     * as a task. Another thread completes it if not even a socket could be created, because the machine has run out of
+     * file descriptors.
      */
     static void whenDone(EventLoop loop, ChannelFuture future, Consumer<ChannelFuture> listener) {
         future.addListener((ChannelFuture completed) -> {
--- a/src/main/java/starlingvalve/net/FinishedMessage.java
+++ b/src/main/java/starlingvalve/net/FinishedMessage.java
@@ -5,10 +5,14 @@
  * whose connection closes during its request, or before it has read the answer, repeats the request.
  *
  * @param waitMs the time after which a refused message may be submitted again, or 0
- * @param expiresAtMs by the journal's {@link SteadyClock}, since it must stay valid after a restart
+ * @param expiresAtMs when the result is no longer kept, on the journal's {@link SteadyClock}, since this time must stay
+ *     valid after a restart
  */
 record FinishedMessage(String id, Result result, double waitMs, long expiresAtMs) {
-    /** Time after its deadline during which an id may still be repeated: a restarted sender serves again within it. */
+    /**
+     * Time after a message's deadline during which a client may still repeat its request: a restarted sender serves
+     * again within this time.
+     */
     static final long REPEAT_GRACE_MS = 10_000;
 
     /** The result that a client gets when it repeats the request. */
--- a/src/main/java/starlingvalve/net/Journal.java
+++ b/src/main/java/starlingvalve/net/Journal.java
@@ -20,7 +20,8 @@
  * cache survives any end of the process, so nothing is forced to disk.
  *
  * <p>The journal's files never take up more than the configured number of bytes. Before an append would leave no room
- * for a compacted copy beside the file, the live records are written to a new file, which then replaces the old one.
+ * for a compacted copy beside the file, the records that are still needed, the live records, are written to a new file,
+ * which then replaces the old one.
  * New messages are rejected while the live records, together with the later records that their messages may need, fill
  * half of these bytes.
  */
@@ -99,7 +100,7 @@
         header();
     }
 
-    /** Reads the file and cuts off a torn tail, which would hide all records appended behind it. */
+    /** Reads the file and cuts off a torn tail, which would hide all records appended after it. */
     private void readFile() throws IOException {
         try {
             file.truncateTo(replay(file.read()));
@@ -198,8 +199,8 @@
     }
 
     /**
-     * Records that nothing more is due for the message: the notice of its end was acknowledged, or its acceptance never
-     * was.
+     * Records that nothing more is due for the message: the platform has acknowledged the notice of its end, or no
+     * client has received the answer that it was accepted.
      */
     void ended(AcceptedMessage message) {
         ended(message, message.pendingNotice.map(notice -> finished.find(message.id, Long.MIN_VALUE)
@@ -275,7 +276,10 @@
         return withdrawn.ids();
     }
 
-    /** Returns the first records of a compacted copy: the base of the clock and the operators' orders in force. */
+    /**
+     * Returns the first records of a compacted copy: the base of the clock and the operators' orders in force. Also
+     * updates {@link #headerBytes}.
+     */
     private byte[] header() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.writeBytes(JournalRecord.clock(clock.base()));
@@ -359,7 +363,7 @@
         countBytes(message, record.length);
     }
 
-    /** Writes a record behind the deferred ones, and before it the base of the clock if the file lacks it. */
+    /** Writes a record after the deferred ones; writes the base of the clock before it if the file lacks the base. */
     private void append(byte[] record) throws IOException {
         prepareToWrite();
         makeRoom(record.length);
--- a/src/main/java/starlingvalve/net/JournalRecord.java
+++ b/src/main/java/starlingvalve/net/JournalRecord.java
@@ -16,11 +16,11 @@
     static final int ACCEPTED = 1;
     /** An attempt was started, so it may have run. */
     static final int STARTED_ATTEMPT = 2;
-    /** An attempt that has a record already never ran. */
+    /** An attempt with an earlier record never ran. */
     static final int NEVER_RAN = 3;
     /** A message has ended with a notice, which is not acknowledged yet. */
     static final int NOTICE_PENDING = 4;
-    /** A message needs nothing more. */
+    /** Nothing more is due for a message. */
     static final int ENDED = 5;
     /** Operators drain this sender, or end the drain. */
     static final int DRAINED = 6;
@@ -28,7 +28,7 @@
     static final int IN_MAINTENANCE = 7;
     /** An attempt that has not started: it never ran, unless {@link #ATTEMPT_STARTED} follows. */
     static final int UNSTARTED_ATTEMPT = 8;
-    /** An attempt with a record as not started has started since, so it may have run. */
+    /** An attempt recorded as {@link #UNSTARTED_ATTEMPT} has started since, so it may have run. */
     static final int ATTEMPT_STARTED = 9;
     /** How a message has ended, in addition to {@link #ENDED}; versions that don't know this type skip it. */
     static final int FINISHED = 10;
--- a/src/main/java/starlingvalve/net/ListLease.java
+++ b/src/main/java/starlingvalve/net/ListLease.java
@@ -28,9 +28,11 @@
  * during an outage is lost.
  */
 final class ListLease {
-    /** Most checks in flight at once. The time limit of a check is this many times the shortest interval of checks. */
+    /**
+     * Limit on checks in flight at once. The time limit of a check is this many times the shortest interval of checks.
+     */
     static final int MAX_CHECKS = 4;
-    /** Most unanswered checks that are remembered; this many suffice to detect that some are lost. */
+    /** Limit on unanswered checks that are remembered; this many suffice to detect that some are lost. */
     private static final int MAX_PENDING = 2 * MAX_CHECKS;
     /** How long discovery may wait before it answers a check. */
     private static final long CHECK_WAIT_MS = 1;
@@ -95,7 +97,7 @@
     /** Unanswered checks that were sent after the last answered one, in the order of sending. */
     private final Deque<Check> pending = new ArrayDeque<>();
     private LongConsumer onRequestsLost = sentBefore -> { };
-    /** A check has been answered since the start. */
+    /** Whether a check has been answered since the start. */
     private boolean answeredOnce;
     /** The time of sending of the last sent check that was answered. */
     private OptionalLong confirmedAt = OptionalLong.empty();
@@ -108,7 +110,7 @@
     private OptionalLong silentAt = OptionalLong.empty();
     /** The time of sending of the last sent check. */
     private OptionalLong lastCheckAt = OptionalLong.empty();
-    /** A run of the waiting tasks is scheduled. */
+    /** Whether a run of the waiting tasks is scheduled. */
     private boolean runScheduled;
     private Optional<Future<?>> heartbeat = Optional.empty();
 
--- a/src/main/java/starlingvalve/net/ListLeasePolicy.java
+++ b/src/main/java/starlingvalve/net/ListLeasePolicy.java
@@ -10,8 +10,8 @@
  * at most the budget after the last time at which the list was certainly up to date: the time at which a check was
  * <em>sent</em> that was answered, or that a reachable agent would have answered.
  *
- * <p>In a deployment where the sender asks for changes, the list stays valid once discovery has answered; the watch
- * request keeps the time limits there.
+ * <p>In a deployment where the sender asks for changes, the list stays valid once discovery has answered; there the
+ * timing of the watch requests ensures that changes arrive within the protocol's time limits.
  *
  * @param expires whether the lease expires, so that checks have to renew it
  * @param leaseMs time after the sending of an answered check for which the list counts as up to date
--- a/src/main/java/starlingvalve/net/NoticeClient.java
+++ b/src/main/java/starlingvalve/net/NoticeClient.java
@@ -22,9 +22,10 @@
 import java.util.function.Consumer;
 
 /**
- * Sends the platform a notice of each message that was accepted and not delivered, oldest first, several in one
- * request. Each notice is repeated until the platform has acknowledged it. The number of pending notices is bounded by
- * the journal, which holds each message whose notice is not acknowledged yet.
+ * Sends the platform a notice of each message that was accepted and not delivered, and of each delivered one whose end
+ * has to be confirmed. Notices are sent oldest first, several in one request, and each is repeated until the platform
+ * has acknowledged it. The number of pending notices is bounded by the journal, which holds each message whose notice
+ * is not acknowledged yet.
  */
 final class NoticeClient {
     /** Maximum body of one request, below the protocol's 64 KiB; a single notice always fits. */
@@ -43,13 +44,13 @@
     private final Deque<AcceptedMessage> pendingNotices = new ArrayDeque<>();
     /** Messages whose notices this process still has to send once while a successor process takes over. */
     private final Deque<AcceptedMessage> toSendOnce = new ArrayDeque<>();
-    /** A request is in flight, or the next one is scheduled. */
+    /** Whether a request is in flight or the next one is scheduled. */
     private boolean sending;
-    /** The successor process sends the notices. */
+    /** Whether the pending notices are left to the successor process. */
     private boolean paused;
     /**
-     * The platform could not read the last request, so the next one contains a single notice, to find the unreadable
-     * one.
+     * Whether the next request contains a single notice, to find the unreadable one, since the platform could not read
+     * the last request.
      */
     private boolean singleNotice;
 
--- a/src/main/java/starlingvalve/net/OperatorServer.java
+++ b/src/main/java/starlingvalve/net/OperatorServer.java
@@ -40,7 +40,7 @@
     static final int MAX_CONNECTIONS = 16;
     /** Time within which a request must be complete. */
     private static final long REQUEST_TIMEOUT_MS = 2500;
-    /** The body of a request is ignored, so a longer one is not read. */
+    /** Limit on a request's body; a longer one is not read, since the body is ignored. */
     private static final int MAX_BODY_BYTES = 4096;
     private static final Pattern ENDPOINT_PATH = Pattern.compile("/endpoints/([^/]+)/(maint|ready)");
 
--- a/src/main/java/starlingvalve/net/PredecessorCalls.java
+++ b/src/main/java/starlingvalve/net/PredecessorCalls.java
@@ -21,7 +21,10 @@
     private final Map<Long, AcceptedMessage> messages = new HashMap<>();
     /** Attempts in flight in the predecessor. */
     private final Set<AttemptId> inFlight = new HashSet<>();
-    /** By message: the number of calls in which its attempt has ended while other messages of the call have not. */
+    /**
+     * By message number: the number of calls that are still in flight for other messages, although this message's
+     * attempts in them have ended.
+     */
     private final Map<Long, Integer> openCalls = new HashMap<>();
 
     /** Adds a message that came with the handover. */
--- a/src/main/java/starlingvalve/net/RequestDeadline.java
+++ b/src/main/java/starlingvalve/net/RequestDeadline.java
@@ -48,6 +48,7 @@
 
     private void startTimer(ChannelHandlerContext ctx) {
         if (timer == null) {
+            // The task compares its own timer with the current one, as it may run even after it was cancelled.
             Future<?>[] started = new Future<?>[1];
             started[0] = AfterPendingReads.schedule(ctx.executor(), limitMs, TimeUnit.MILLISECONDS, () -> {
                 if (timer == started[0]) {
--- a/src/main/java/starlingvalve/net/ResponseScanner.java
+++ b/src/main/java/starlingvalve/net/ResponseScanner.java
@@ -61,7 +61,7 @@
     private void scanByte(byte value) {
         countStatusLines(value);
         switch (state) {
-            case STATUS_LINE -> statusLine(value);
+            case STATUS_LINE -> readStatusLineByte(value);
             case HEADERS -> readHeaderByte(value);
             default -> { }
         }
@@ -79,7 +79,7 @@
         }
     }
 
-    private void statusLine(byte value) {
+    private void readStatusLineByte(byte value) {
         if (value != '\n' && statusLine.length() < MAX_STATUS_LINE_LENGTH) {
             statusLine.append((char) (value & 0xff));
             return;
--- a/src/main/java/starlingvalve/net/SubmissionServer.java
+++ b/src/main/java/starlingvalve/net/SubmissionServer.java
@@ -92,7 +92,7 @@
      */
     record Verdict(Decision decision, String reason, double waitMs, Consumer<Boolean> answerListener) {
         /**
-         * An accepted message.
+         * The verdict on an accepted message.
          *
          * @param answerListener called with whether the client may have received the answer; with false if it never
          *     will
@@ -101,12 +101,12 @@
             return new Verdict(Decision.ACCEPTED, "", 0, answerListener);
         }
 
-        /** A refused message; nothing is known about when to submit it again. */
+        /** The verdict on a refused message; when to submit it again is unknown. */
         static Verdict refused(String reason) {
             return refused(reason, 0);
         }
 
-        /** A refused message, to be submitted again after {@code waitMs} at the earliest. */
+        /** The verdict on a refused message, to be submitted again after {@code waitMs} at the earliest. */
         static Verdict refused(String reason, double waitMs) {
             return new Verdict(Decision.REFUSED, reason, waitMs, mayBeReceived -> { });
         }
@@ -146,13 +146,13 @@
          */
         void submit(Submission submission, Consumer<Verdict> callback);
 
-        /** A request was answered with a client error, and nothing of it was accepted. */
+        /** Called when a request is answered with a client error; nothing of it was accepted. */
         default void rejected(HttpResponseStatus status, String reason) {
         }
 
         /**
-         * A client's connection is closed, other than after an answer with {@code Connection: close}, or by the client
-         * between requests.
+         * Called when a client's connection is closed, other than after an answer with {@code Connection: close}, or by
+         * the client between requests.
          *
          * @param unansweredRequest whether at least a part of a request was received that was not answered
          * @param cause the system's error message, or empty
@@ -160,7 +160,7 @@
         default void connectionClosed(CloseReason reason, boolean unansweredRequest, String cause) {
         }
 
-        /** A connection could not be accepted. */
+        /** Called for the first of several failures in a row to accept a connection. */
         default void acceptFailed(Exception cause) {
         }
     }
@@ -200,7 +200,7 @@
     private boolean draining;
     private boolean successorListens;
     private boolean idleCloseScheduled;
-    /** Nothing more is read from any connection. */
+    /** Whether reading from all connections has stopped. */
     private boolean readingStopped;
 
     /** For tests: accepts connections on the event loop that also serves them. */
@@ -409,9 +409,9 @@
 
     /** Handles the requests of one client's connection. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        /** The last answer of this connection is written; further input is ignored. */
+        /** Whether the last answer of this connection is sent, so that further input is ignored. */
         private boolean lastResponseSent;
-        /** The submission handler was notified of the close. */
+        /** Whether the submission handler was notified of the close. */
         private boolean closeReported;
 
         /** Notifies the submission handler, once, why this connection is closed. */
--- a/src/main/java/starlingvalve/net/TcpListener.java
+++ b/src/main/java/starlingvalve/net/TcpListener.java
@@ -37,9 +37,9 @@
     }
 
     private final Admission admission;
-    /** The latest accept failed. */
+    /** Whether the latest accept failed. */
     private boolean failing;
-    /** The listener closes once all connections in the backlog are accepted. */
+    /** Whether the listener closes once all connections in the backlog are accepted. */
     private boolean closing;
 
     TcpListener(Admission admission) {
--- a/src/main/java/starlingvalve/net/UnattemptedMessages.java
+++ b/src/main/java/starlingvalve/net/UnattemptedMessages.java
@@ -13,14 +13,14 @@
     private int expired;
     private int called;
 
-    /** A message without attempts was recovered from the journal. */
+    /** Records that a message without attempts was recovered from the journal, with {@code leftMs} to its deadline. */
     void found(long message, double leftMs) {
         waiting.add(message);
         found++;
         expired += leftMs <= 0 ? 1 : 0;
     }
 
-    /** A call is made with this message. */
+    /** Records that a call is made with this message. */
     void called(long message) {
         if (waiting.remove(message)) {
             called++;
@@ -28,14 +28,17 @@
         }
     }
 
-    /** A message has ended; if it has had no call yet, it counts as ended without one. */
+    /** Records that a message has ended; if it has had no call yet, it counts as ended without one. */
     void ended(long message) {
         if (waiting.remove(message)) {
             logWhenComplete();
         }
     }
 
-    /** The process ends: the messages that still wait for a call are recovered by the next process run. */
+    /**
+     * Called when the process ends: logs the counts if messages still wait for a call. The next process run recovers
+     * those messages.
+     */
     void close() {
         if (!waiting.isEmpty()) {
             log();
--- a/src/main/java/starlingvalve/net/Warmup.java
+++ b/src/main/java/starlingvalve/net/Warmup.java
@@ -158,6 +158,7 @@
 
     private SimulatedPolicy simulated;
 
+    /** Submits two messages to a delivery policy, and ends all attempts that it then has in flight. */
     private void policy(int round) {
         if (simulated == null) {
             simulated = new SimulatedPolicy();
@@ -167,6 +168,7 @@
         simulated.endAll(round);
     }
 
+    /** Writes the state of a policy and a submission as JSON and reads them again, as processes do in a handover. */
     private void handover() throws IOException {
         SimulatedPolicy predecessor = new SimulatedPolicy();
         for (int i = 0; i < OPEN_MESSAGES; i++) {
@@ -187,6 +189,7 @@
         }
     }
 
+    /** Writes a journal in one process run; recovers and continues it in a second one. */
     private void journal() throws IOException {
         Path folder = Files.createTempDirectory(config.handover().getParent(), "warm");
         try {
@@ -221,6 +224,7 @@
         return Math.max(MIN_JOURNAL_BYTES, JOURNAL_BYTES_PER_ATTEMPT * config.settings().maxAttempts());
     }
 
+    /** Passes a client's requests through the pipeline of the submission server. */
     private void client(int round) {
         EmbeddedChannel client = new EmbeddedChannel();
         client.pipeline().addLast(new SubmissionServer(loop, 4, new WarmupSubmissionHandler()).pipeline());
@@ -234,6 +238,7 @@
         client.finishAndReleaseAll();
     }
 
+    /** Encodes a request to an endpoint, and decodes its answer. */
     private void endpoint() {
         EmbeddedChannel endpoint = new EmbeddedChannel(new HttpClientCodec());
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
