--- a/src/main/java/starlingvalve/net/SurplusInput.java
+++ b/src/main/java/starlingvalve/net/SurplusInput.java
@@ -34,7 +34,7 @@
 
     /**
      * Whether these bytes certainly contain no answer with another status. If they may, it is unknown which of the two
-     * answers the request. False once the maximum length is reached, as bytes may have been dropped.
+     * answers the request. Returns false once the maximum length is reached, as bytes may have been dropped.
      */
     boolean holdsNoOtherStatus(int status) {
         Matcher statusLineMatcher = STATUS_LINE_BEGIN.matcher(text);
