--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -35,19 +35,19 @@
     private static final double THROTTLE_PERIOD_MS = 10_000;
     private static final double RETRY_BASE = 2; // retry rounds of refused messages
     private static final double RETRY_SHARE = 0.3;
-    /** First back-off before a retry round: quick errors or many senders must not use up all attempts. */
+    /** Back-off before the first retry round: quick errors or many senders must not use up all attempts. */
     private static final double FIRST_BACKOFF_MS = 200;
     private static final double BACKOFF_GROWTH = 3;
-    private static final double WINDOW_MARGIN_MS = 300; // travel time kept free at the end of the window
+    private static final double WINDOW_MARGIN_MS = 300; // for a request to arrive within the dedup window
 
     // Time-outs: a multiple of the latency target, or more where answers are observed to take longer.
     private static final double TIMEOUT_TARGET_MULTIPLE = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    private static final double UNSAFE_TIMEOUT_SHARE = 0.33; // of the deadline at least: it can't be repeated
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33; // of the deadline, at least: no repeat is allowed
     private static final double INITIAL_LATENCY_MS = 250; // assumed until an endpoint answers
 
     // Pacing.
-    /** A refusal cuts the pacing rate by this factor; the first one, the rate of the last second's sends. */
+    /** A refusal cuts the pacing rate by this factor; the first refusal, the send rate of the last second. */
     private static final double RATE_CUT_FACTOR = 0.7;
     /** A cut starts from at most this multiple of the recent send rate: an unused pacing rate only grows. */
     private static final double MAX_SENT_RATE_MULTIPLE = 1.3;
@@ -56,21 +56,21 @@
     private static final double RATE_SLOW_GROWTH = 0.03;
     private static final double NEAR_REFUSED_SHARE = 0.9;
     private static final double CUT_MEMORY_MS = 4000;
-    // Longest interval between calls after one refusal, where no rate is listed: two calls a second from each
-    // of many senders are too many, so each further one multiplies it, up to a maximum; deliveries undo that.
+    // Where no rate is listed: the longest interval between calls after one refusal. Each further refusal
+    // multiplies it, as two calls a second from each of many senders are too many; a delivery undoes one.
     private static final double MAX_SEND_INTERVAL_MS = 500;
     private static final double SEND_INTERVAL_GROWTH = 3;
     private static final int MAX_INTERVAL_GROWTHS = 4;
-    /** Unused send time that a burst may make up for; all senders together burst this long at the limit. */
+    /** Unused send time that a sender may catch up on in a burst; all senders may do so at the same time. */
     private static final double BURST_MS = 250;
-    /** Least pacing rates: shares of the calls needed, and of an even part of a listed rate. */
+    /** The minimum pacing rate is the greater of these shares: of the needed rate and of the even rate. */
     private static final double MIN_RATE_DEMAND_SHARE = 0.2;
     private static final double LISTED_RATE_SHARE = 0.5; // a listed rate may be half too high
-    /** After more refusals in a row both fall: where refused calls use capacity too, it might stay full. */
+    /** After more refusals in a row the minimum falls: refused calls may use capacity and keep it full. */
     private static final int MIN_RATE_REFUSALS = 2;
     private static final double DESTINATION_IDLE_MS = 60_000; // without a send; then pacing starts anew
 
-    private static final double CLOCK_MARGIN_MS = 1; // clocks are rounded: for retry-afters, early wakes
+    private static final double CLOCK_MARGIN_MS = 1; // clocks are rounded: for retry-afters and early wakes
 
     // Health.
     /** Failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
@@ -80,30 +80,30 @@
     private static final double DOWN_SCORE = 0.6; // five failures in a row, or one failed connect
     private static final int SILENT_CALLS = 2; // overdue, without any answer since
     private static final double OVERDUE_DEVIATIONS = 4;
-    /** Failures or refusals in a row, over this time or among recovered messages, that mean down. */
+    /** Failures or refusals in a row that mean down if they last UNAVAILABLE_MS or precede a restart. */
     private static final int UNAVAILABLE_FAILURES = 3;
     private static final double UNAVAILABLE_MS = 2500;
     private static final double MIN_PROBE_INTERVAL_MS = 500; // the longest is this times the senders
-    private static final double MAX_INTERVAL_WARM_UPS = 4; // times the warm-up: longest in slow start
+    private static final double MAX_INTERVAL_WARM_UPS = 4; // longest call interval, in warm-up times
     private static final double SLOW_START_BUDGET_SHARE = 0.7; // of the overload budget
     private static final double SLOW_START_EXTRA_CALLS = 2; // above the budget, to allow for chance
     private static final double RATE_PERIOD_MS = 10_000; // over which sends, demand and deliveries average
     private static final double DEMAND_SHARE = 0.7; // of the demand, trusted where nothing is refused
-    private static final double MIN_RATE_PERIOD_MS = 2000; // shorter counts as this
+    private static final double MIN_RATE_PERIOD_MS = 2000; // a shorter observed time counts as this
 
     // Connections.
     /** The longest back-off after a refused connection doubles with each in a row, up to this many times. */
     private static final int CONNECT_DOUBLINGS = 5;
-    private static final double CONNECTION_IDLE_MS = 100; // without use, after which it counts as idle
+    private static final double CONNECTION_IDLE_MS = 100; // unused for this long, it counts as idle
     /** Share of a lost connection's idle time beyond which others are not trusted, and for how long. */
     private static final double TRUSTED_IDLE_SHARE = 0.25;
     private static final double LOSS_MEMORY_MS = 30_000;
 
     // The queue.
-    /** A message ranks by the worth that it loses until its destination's queue clears, or over this time. */
+    /** A message ranks by the worth it loses until its destination's queue clears, or over this minimum. */
     private static final double MIN_RANK_HORIZON_MS = 1500;
     private static final double RANK_WORTH_WEIGHT = 0.01; // orders messages that lose no worth yet
-    private static final double FEE_POINT_MS = 25_000; // delay that costs about the worth of a fee of 1
+    private static final double FEE_POINT_MS = 25_000; // delay that loses about as much worth as a fee of 1
     private static final double HEDGE_RECHECK_MS = 10; // while the endpoint list may be out of date
     private static final double HANDOVER_SHARE = 0.25; // of the deadline: most time that a handover may cost
     private static final double ANSWER_MARGIN_MS = 5; // before the deadline, if nothing is in flight
@@ -247,7 +247,7 @@
         }
     }
 
-    /** Watches attempts in flight; one that another followed was hedged, be that one in flight or not. */
+    /** Watches attempts in flight. One that another followed was hedged, even if the other has ended. */
     private void watchRestored(Delivery delivery) {
         for (Attempt attempt : delivery.attempts) {
             boolean hedged = delivery.attemptsInFlight > 1
@@ -279,7 +279,7 @@
         accept(message).destination.demand.add();
     }
 
-    /** An accepted message is kept as long as possible; a rejected one may be accepted elsewhere. */
+    /** Rejects a message that would miss its deadline here: once accepted, no other sender could accept it. */
     @Override
     public OptionalDouble admissionRetryAfter(double now, Message message) {
         advanceClock(now);
@@ -374,7 +374,7 @@
                         && mayRepeat(delivery, e, delivery.attempts.get(attempt))).isPresent();
     }
 
-    /** Until the call closes its ended attempt can still run, so the key has to wait. */
+    /** An ended attempt may still run until its call ends, so the key has to wait until then. */
     @Override
     public void callEnded(double now, long message) {
         advanceClock(now);
@@ -457,7 +457,7 @@
 
     /** Sends queued messages in order of rank, as far as the eligibility checks and the slots allow. */
     private void dispatch() {
-        // A destination without room for a call has none all turn; checking its messages costs most time.
+        // A destination that can't take a call now can't in this turn: skipping its messages saves most time.
         for (Destination destination : destinations.values()) {
             destination.eligible = destination.queued > 0 && destination.canTakeCall();
             destination.rankHorizonMs = destination.eligible
@@ -495,10 +495,10 @@
     /** The cheapest endpoint that passes {@link #maySend}; if possible, a hedge uses another endpoint. */
     private Optional<EndpointState> chooseEndpoint(Delivery delivery, boolean hedge) {
         EndpointState best = null;
-        boolean elsewhere = hedge && delivery.destination.members.stream()
+        boolean otherInService = hedge && delivery.destination.members.stream()
                 .anyMatch(e -> e.isInService() && !delivery.isInFlightAt(e));
         for (EndpointState endpoint : delivery.destination.members) {
-            boolean skipped = elsewhere && delivery.isInFlightAt(endpoint)
+            boolean skipped = otherInService && delivery.isInFlightAt(endpoint)
                     || hedge && endpoint.circuit == Circuit.DOWN;
             if (!skipped && maySend(delivery, endpoint)
                     && (best == null || endpoint.cost(delivery) < best.cost(delivery))) {
@@ -663,9 +663,9 @@
         double notBefore = Double.NEGATIVE_INFINITY;
         double rank;
         int retryRounds;
-        boolean lastRefused; // its latest end of an attempt was a refusal
+        boolean lastRefused; // whether the attempt that ended last was refused
         int attemptsInFlight;
-        int openCalls; // with ended attempts of it, still in flight for other messages
+        int openCalls; // calls in which an attempt of it has ended, in flight for other messages
         boolean ended;
         boolean unacknowledged; // ended by an answer that is not acknowledged; its key waits until it is
         boolean expedited; // recovered, unattempted, and now due ahead of the pacing rate
@@ -881,7 +881,7 @@
                     .mapToDouble(e -> Math.max(e.limiter.retryAfterUntil, e.nextCallAllowedAt()));
         }
 
-        /** When the first endpoint may be called; now where none is in service. */
+        /** When the first endpoint may be called, or now if none is in service. */
         double nextCallAt() {
             return Math.max(clock, nextCallTimes().min().orElse(clock));
         }
@@ -1101,10 +1101,10 @@
         /** Whether any message may be sent here now, as far as endpoint, limit and slots decide. */
         boolean canTakeCall() {
             // A destination gets fewer slots than stay free: a slow or silent one must not hold them all.
-            boolean slot = slotsUsed < settings.slots() && (circuit != Circuit.DOWN || callsInFlight == 0)
+            boolean slotFree = slotsUsed < settings.slots() && (circuit != Circuit.DOWN || callsInFlight == 0)
                     && destination.callsInFlight < Math.max(1, settings.slots() - slotsUsed - 1);
             return isInService() && limiter.retryAfterUntil <= clock
-                    && (canJoinCall() || slot && nextCallAllowedAt() <= clock);
+                    && (canJoinCall() || slotFree && nextCallAllowedAt() <= clock);
         }
 
         boolean canJoinCall() {
@@ -1149,18 +1149,18 @@
         /** While down or warming up: time until the growing budget allows one more call. */
         double callIntervalMs() {
             ColdStart cold = settings.coldStart();
-            double gain = circuit == Circuit.DOWN ? 0 : budget(1 - cold.startCapacity()) / cold.warmMs();
-            double chance = limiter.listedRate == 0 ? 0 : SLOW_START_EXTRA_CALLS / cold.overloadMs()
+            double growth = circuit == Circuit.DOWN ? 0 : budget(1 - cold.startCapacity()) / cold.warmMs();
+            double extraRate = limiter.listedRate == 0 ? 0 : SLOW_START_EXTRA_CALLS / cold.overloadMs()
                     / settings.senders() / limiter.endpointCount();
             double rate = Math.max(1 / (MAX_INTERVAL_WARM_UPS * cold.warmMs()),
-                    budget(cold.startCapacity()) + gain * (clock - warmingSince) + chance);
+                    budget(cold.startCapacity()) + growth * (clock - warmingSince) + extraRate);
             double intervalMs = limiter.listedRate == 0 ? 1 / rate
-                    : 2 / (rate + Math.sqrt(rate * rate + 2 * gain));
+                    : 2 / (rate + Math.sqrt(rate * rate + 2 * growth));
             double probeIntervalMs = Math.min(intervalMs, MIN_PROBE_INTERVAL_MS * settings.senders());
             return circuit == Circuit.DOWN ? Math.max(MIN_PROBE_INTERVAL_MS, probeIntervalMs) : intervalMs;
         }
 
-        /** This sender's part of the overload budget: by its earlier rate, or even by the listed rate. */
+        /** This sender's part of the overload budget, by the greatest of delivered, demanded and even rate. */
         private double budget(double capacity) {
             double demanded = DEMAND_SHARE * destination.demand.perMs() / destination.members.size();
             double even = LISTED_RATE_SHARE * limiter.evenRate() / limiter.endpointCount();
@@ -1178,8 +1178,9 @@
                 case NO_CONNECTION -> { // calls sent at the same moment count once
                     if (circuit != Circuit.UP || call.sentAt >= nextCallAt) {
                         callRefused(call, end);
-                        double mostMs = latency.mean() * Math.pow(2, Math.min(failures, CONNECT_DOUBLINGS));
-                        nextCallAt = Math.max(nextCallAt, clock + random.nextDouble() * mostMs);
+                        double maxBackoffMs = latency.mean()
+                                * Math.pow(2, Math.min(failures, CONNECT_DOUBLINGS));
+                        nextCallAt = Math.max(nextCallAt, clock + random.nextDouble() * maxBackoffMs);
                     }
                 }
                 case UNREACHABLE -> {
@@ -1232,8 +1233,8 @@
 
         /** Counts a failure or refusal and returns whether the endpoint counts as down. */
         private boolean addFailure(Call call) {
-            // After long without a delivery a second failure is enough, if its call was sent after the first:
-            // calls in flight together are one sign.
+            // Long after the last delivery a second failure is enough, if its call was sent after the first
+            // failure: failures of calls that were in flight together count as one sign.
             boolean failsAgain = failures > 0 && call.sentAt >= failingSince
                     && clock - lastDeliveryAt >= RATE_PERIOD_MS;
             if (failures++ == 0) {
--- a/src/main/java/starlingvalve/SimulatorAdapter.java
+++ b/src/main/java/starlingvalve/SimulatorAdapter.java
@@ -321,10 +321,10 @@
             }
         }
 
-        double numberOr(String field, double absent) throws InvalidInputException {
+        double numberOr(String field, double defaultValue) throws InvalidInputException {
             int start = position;
             if (optional(field).isEmpty()) {
-                return absent;
+                return defaultValue;
             }
             position = start;
             return number(field);
--- a/src/main/java/starlingvalve/net/AcceptedMessage.java
+++ b/src/main/java/starlingvalve/net/AcceptedMessage.java
@@ -20,7 +20,7 @@
     /** Messages with the same ordering key are sent in order, in classes that require ordering. */
     final Optional<String> orderingKey;
     final long destination;
-    /** By the journal's {@link SteadyClock}, since it must stay valid after a restart. */
+    /** The deadline by the journal's {@link SteadyClock}, so that it stays valid after a restart. */
     final long deadlineMs;
     final byte[] body;
     final List<Attempt> attempts = new ArrayList<>();
--- a/src/main/java/starlingvalve/net/Endpoints.java
+++ b/src/main/java/starlingvalve/net/Endpoints.java
@@ -159,8 +159,8 @@
     private final Bootstrap bootstrap;
     private final long maxIdleNanos;
     /**
-     * The idle time at kinds in {@link #crowdedKinds}: the connections of all senders together may be idle for as long
-     * there as those of one sender elsewhere.
+     * The longest idle time at endpoints of the {@link #crowdedKinds}: the connections of all senders together may be
+     * idle for as long there as those of one sender elsewhere.
      */
     private final long crowdedIdleNanos;
     /** Kinds of endpoint that have refused a new connection because their connection table was full. */
@@ -182,13 +182,13 @@
         this(loop, System::nanoTime, dialTimeoutMs, keepAliveMs, senders, maxIdleConnections, callbacks);
     }
 
-    /** With a given clock for the idle time of connections. */
+    /** Creates the pool with a given clock for the idle time of connections. */
     Endpoints(EventLoop loop, LongSupplier nanos, double dialTimeoutMs, double keepAliveMs, int senders,
             int maxIdleConnections, Callbacks callbacks) {
         this(loop, nanos, UnreadInputChannel::new, dialTimeoutMs, keepAliveMs, senders, maxIdleConnections, callbacks);
     }
 
-    /** With a given channel factory, for tests. */
+    /** Creates the pool with a given channel factory, for tests. */
     Endpoints(EventLoop loop, LongSupplier nanos, ChannelFactory<UnreadInputChannel> channels, double dialTimeoutMs,
             double keepAliveMs, int senders, int maxIdleConnections, Callbacks callbacks) {
         this.loop = loop;
@@ -239,7 +239,7 @@
         return call;
     }
 
-    /** Ends the turn: starts its exchanges, except for calls that input which has arrived by now forbids. */
+    /** Ends the turn: starts its exchanges once pending input is read, without the calls that this input forbids. */
     void flush() {
         for (Exchange exchange : pendingExchanges) {
             exchange.peer.pendingExchange = null;
@@ -283,7 +283,7 @@
         return idleCount;
     }
 
-    /** Closes what the endpoint would soon close itself, as a request that crosses that close is lost. */
+    /** Closes connections that the endpoint would soon close: a request that arrives after that close is lost. */
     private void sweep() {
         long now = nanos.getAsLong();
         for (Peer peer : peers.values()) {
@@ -376,7 +376,7 @@
         private final double timeoutMs;
         private final Future<?> timer;
         private Exchange exchange;
-        /** Its outcome is decided and will be reported, or was. */
+        /** Its outcome is decided, and has been or will be reported. */
         private boolean outcomeDecided;
         /** {@link Callbacks#callStarting} has recorded that its first byte may have been sent. */
         private boolean begun;
@@ -560,8 +560,8 @@
         }
 
         /**
-         * Starts on a new connection, after another look at the list of endpoints and at pending input: either may
-         * forbid the call by now.
+         * Starts on a new connection, once the list of endpoints is current and pending input is read: either may
+         * forbid calls by now.
          */
         private void connected(Connection newConnection) {
             newConnection.peer = peer;
@@ -569,8 +569,8 @@
         }
 
         /**
-         * Writes to a connection unless it brought input before a request: later input could not be told from an answer
-         * then, so the connection is closed.
+         * Writes the request to a connection, or closes the connection if input arrived on it before any request: such
+         * input can't be told from an answer.
          */
         private void startOn(Connection target) {
             if (target.isUsable()) {
@@ -649,7 +649,7 @@
             calls.forEach(call -> call.end(result, retryAfterMs, Optional.of(cause)));
         }
 
-        /** Closes its connection, as no call waits for it any more; not one that carries another exchange by now. */
+        /** Closes its connection, unless that carries another exchange by now, or aborts its pending connect. */
         private void close(CloseReason reason) {
             if (connection != null && connection.exchange == this) {
                 connection.close(reason);
--- a/src/main/java/starlingvalve/net/Handover.java
+++ b/src/main/java/starlingvalve/net/Handover.java
@@ -52,6 +52,7 @@
     }
 
     private enum Phase {
+        /** This process owns the journal and makes decisions. */
         OWNING,
         /** No decisions are made any more, and the state is being collected. */
         FREEZING,
@@ -168,7 +169,7 @@
         return unanswered.size();
     }
 
-    /** Forwards an event to the successor. If the successor fails before it owns, the local action runs instead. */
+    /** Forwards an event to the successor. If the successor fails before it owns the journal, the action runs. */
     void forward(ObjectNode line, Runnable localAction) {
         if (phase == Phase.LEAVING || phase == Phase.RETURNING) {
             localActions.add(localAction);
@@ -226,7 +227,7 @@
 
     private void sendState(ObjectNode state) {
         phase = Phase.LEAVING;
-        // Must precede the state: closing deletes the file at the path, where the successor will listen itself.
+        // Closed before the state is sent: closing deletes the file at the path, where the successor will listen.
         closeListener();
         if (connection == null) {
             returnOwnership();
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -67,7 +67,10 @@
     private static final double FAULT_RETRY_AFTER_MS = 1000;
     /** Message number that means "no message" on the handover connection between two processes. */
     private static final long NO_MESSAGE = -1;
-    /** Without an endpoint list from discovery by then, a successor takes over with its predecessor's list. */
+    /**
+     * Time from its start in which a successor waits for an endpoint list from discovery; then it takes over with its
+     * predecessor's list.
+     */
     private static final long PREPARE_LIMIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final Config config;
@@ -255,7 +258,7 @@
         journal = new Journal(config.state(), config.diskBytes(), config.settings().maxAttempts(),
                 unwrittenRecords(state));
         watchdog = new DeadlineWatchdog(loop, journal.clock()::nowMs, this::messageOverdue);
-        rules = new MessageRules(journal.clock()::nowMs, this::repeats, events);
+        rules = new MessageRules(journal.clock()::nowMs, this::repeatPolicyOf, events);
         journal.onWriteDeferred(this::scheduleJournalRetry);
         scheduleJournalRetry();
         Optional<DeliveryPolicy.Snapshot> snapshot = state.flatMap(this::readSnapshot);
@@ -279,7 +282,7 @@
     }
 
     /** Returns how messages of a class may be repeated, if the configuration still has that class. */
-    private Optional<MessageRules.RepeatPolicy> repeats(String messageClass) {
+    private Optional<MessageRules.RepeatPolicy> repeatPolicyOf(String messageClass) {
         int classNumber = config.classes().indexOf(messageClass);
         if (classNumber < 0) {
             return Optional.empty();
@@ -495,10 +498,10 @@
 
     /**
      * Ends a message that the policy does not end. If it certainly has not run, its client may submit it again after
-     * {@code waitMs}.
+     * {@code retryAfterMs}.
      */
-    private void giveUp(AcceptedMessage accepted, double waitMs) {
-        endWithNotice(accepted, finalNotice(accepted, waitMs));
+    private void giveUp(AcceptedMessage accepted, double retryAfterMs) {
+        endWithNotice(accepted, finalNotice(accepted, retryAfterMs));
         isolate(() -> policy.endConfirmationPending(openTurn(), accepted.number));
     }
 
@@ -536,9 +539,9 @@
     }
 
     /** The notice that ends a message: bounced with a retry delay if it certainly has not run, otherwise failed. */
-    private static AcceptedMessage.Notice finalNotice(AcceptedMessage accepted, double waitMs) {
+    private static AcceptedMessage.Notice finalNotice(AcceptedMessage accepted, double retryAfterMs) {
         boolean neverRan = accepted.attempts.stream().allMatch(attempt -> attempt.neverRan);
-        return new AcceptedMessage.Notice(neverRan, waitMs);
+        return new AcceptedMessage.Notice(neverRan, retryAfterMs);
     }
 
     /** Whether this process is the one that ends the open messages. */
@@ -651,8 +654,8 @@
     }
 
     @Override
-    public boolean refuse(long message, double waitMs) {
-        endWithNotice(openMessages.find(message).orElseThrow(), new AcceptedMessage.Notice(true, waitMs));
+    public boolean refuse(long message, double retryAfterMs) {
+        endWithNotice(openMessages.find(message).orElseThrow(), new AcceptedMessage.Notice(true, retryAfterMs));
         return false;
     }
 
@@ -729,20 +732,20 @@
         }
 
         @Override
-        public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded, double waitMs,
-                boolean callOpen) {
+        public void ended(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded,
+                double retryAfterMs, boolean callOpen) {
             callsInFlight.remove(new AttemptId(call.message.number, call.attempt));
             double tookMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (outcome != DeliveryPolicy.Outcome.DELIVERED) {
-                logUndelivered(call, outcome, messageEnded, waitMs, tookMs);
+                logUndelivered(call, outcome, messageEnded, retryAfterMs, tookMs);
             }
             boolean needsConfirmation = call.report().wasPartlyAbandoned();
             Runnable localAction = () -> attemptEnded(call.message, call.attempt, outcome, messageEnded,
-                    needsConfirmation, waitMs, tookMs, callOpen);
+                    needsConfirmation, retryAfterMs, tookMs, callOpen);
             if (handover.isForwarding()) {
                 ObjectNode line = HandoverConnection.line("ended").put("message", call.message.number)
                         .put("attempt", call.attempt).put("outcome", outcome.name()).put("gone", messageEnded)
-                        .put("confirm", needsConfirmation).put("waitMs", waitMs).put("tookMs", tookMs)
+                        .put("confirm", needsConfirmation).put("waitMs", retryAfterMs).put("tookMs", tookMs)
                         .put("open", callOpen);
                 handover.forward(line, localAction);
             } else {
@@ -764,12 +767,12 @@
         }
 
         private void logUndelivered(Endpoints.Call call, DeliveryPolicy.Outcome outcome, boolean messageEnded,
-                double waitMs, double tookMs) {
+                double retryAfterMs, double tookMs) {
             AttemptReport report = call.report();
             events.add("attempt-ended", "id", call.message.id, "attempt", call.attempt, "endpoint",
                     call.message.attempts.get(call.attempt).endpoint, "outcome", outcome, "cause", report.cause(),
                     "status", report.status(), "messages", report.messages(), "left", report.abandoned(), "over",
-                    messageEnded, "wait_ms", Math.round(waitMs), "took_ms", Math.round(tookMs), "list",
+                    messageEnded, "wait_ms", Math.round(retryAfterMs), "took_ms", Math.round(tookMs), "list",
                     call.message.attempts.get(call.attempt).listGeneration);
         }
 
@@ -782,10 +785,10 @@
         }
 
         @Override
-        public void retryAfterReceived(long endpoint, double waitMs) {
-            Runnable localAction = () -> isolate(() -> policy.retryAfterReceived(openTurn(), endpoint, waitMs));
+        public void retryAfterReceived(long endpoint, double retryAfterMs) {
+            Runnable localAction = () -> isolate(() -> policy.retryAfterReceived(openTurn(), endpoint, retryAfterMs));
             if (handover.isForwarding()) {
-                handover.forward(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", waitMs),
+                handover.forward(HandoverConnection.line("wait").put("endpoint", endpoint).put("waitMs", retryAfterMs),
                         localAction);
             } else {
                 localAction.run();
@@ -809,7 +812,7 @@
     }
 
     private void attemptEnded(AcceptedMessage accepted, int attempt, DeliveryPolicy.Outcome outcome,
-            boolean messageEnded, boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
+            boolean messageEnded, boolean needsConfirmation, double retryAfterMs, double tookMs, boolean callOpen) {
         if (messageEnded) {
             endByAnswer(accepted, FinishedMessage.Result.FAILED);
         } else if (outcome == DeliveryPolicy.Outcome.DELIVERED && needsConfirmation) {
@@ -821,7 +824,7 @@
         }
         boolean finished = accepted.ended;
         isolate(() -> policy.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(accepted.number, attempt, outcome,
-                tookMs, finished, waitMs, callOpen)));
+                tookMs, finished, retryAfterMs, callOpen)));
     }
 
     /** Ends a message by an endpoint's answer: no notice is due for it, and nothing may be sent for it any more. */
@@ -1029,12 +1032,13 @@
         return acceptance(accepted);
     }
 
-    private SubmissionServer.Verdict rejection(SubmissionServer.Submission submission, String reason, double waitMs) {
+    private SubmissionServer.Verdict rejection(SubmissionServer.Submission submission, String reason,
+            double retryAfterMs) {
         stats.ended(submission.messageClass(), Stats.End.REFUSED);
         events.add("refused", "id", submission.id(), "class", submission.messageClass(), "dest",
-                submission.destination(), "reason", reason, "wait_ms", Math.round(waitMs), "open",
+                submission.destination(), "reason", reason, "wait_ms", Math.round(retryAfterMs), "open",
                 openMessages.size());
-        return SubmissionServer.Verdict.refused(reason, waitMs);
+        return SubmissionServer.Verdict.refused(reason, retryAfterMs);
     }
 
     /**
@@ -1383,18 +1387,18 @@
         }
 
         private void predecessorAttemptEnded(AttemptId attempt, DeliveryPolicy.Outcome outcome, boolean messageEnded,
-                boolean needsConfirmation, double waitMs, double tookMs, boolean callOpen) {
+                boolean needsConfirmation, double retryAfterMs, double tookMs, boolean callOpen) {
             if (!predecessorCalls.attemptEnded(attempt, callOpen)) {
                 return;
             }
             Optional<AcceptedMessage> accepted = predecessorCalls.findMessage(attempt.message());
             if (accepted.isPresent()) {
-                attemptEnded(accepted.get(), attempt.attempt(), outcome, messageEnded, needsConfirmation, waitMs,
+                attemptEnded(accepted.get(), attempt.attempt(), outcome, messageEnded, needsConfirmation, retryAfterMs,
                         tookMs, callOpen);
             } else {
                 // The message had ended before the handover.
                 isolate(() -> policy.attemptEnded(openTurn(), new DeliveryPolicy.AttemptEnd(attempt.message(),
-                        attempt.attempt(), outcome, tookMs, true, waitMs, callOpen)));
+                        attempt.attempt(), outcome, tookMs, true, retryAfterMs, callOpen)));
             }
         }
 
--- a/src/main/java/starlingvalve/net/Takeover.java
+++ b/src/main/java/starlingvalve/net/Takeover.java
@@ -113,13 +113,13 @@
         }
     }
 
-    /** Reports a failure. The process ends and its lock with it, so the previous owner or the next process can own. */
+    /** Reports a failure. The process ends and its lock with it, so another process can become the owner. */
     private void fail(Throwable cause) {
         failed = true;
         callbacks.failed(cause);
     }
 
-    /** Acquires the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a used lock. */
+    /** Acquires the lock if it is free. A brief failure, such as a lack of file descriptors, counts as a held lock. */
     private Optional<StateLock> tryAcquireLock() throws IOException {
         try {
             Optional<StateLock> lock = StateLock.tryAcquire(stateFolder);
@@ -208,9 +208,9 @@
     }
 
     /**
-     * Returns ownership to the predecessor, which has released the lock, and acquires it again before it closes the
-     * connection: until then this process must not acquire the free lock. If the predecessor does not know this line,
-     * or hangs, this process closes the connection after {@link #PREDECESSOR_TIMEOUT_MS}.
+     * Returns ownership to the predecessor. It has released the lock, and acquires it again before it closes the
+     * connection; until then this process must not acquire the lock, although it is free. If the predecessor does not
+     * know this line, or hangs, this process closes the connection after {@link #PREDECESSOR_TIMEOUT_MS}.
      */
     private void decline(HandoverConnection from) {
         if (connection == from) {
