--- a/src/main/java/starlingvalve/DeliveryPolicy.java
+++ b/src/main/java/starlingvalve/DeliveryPolicy.java
@@ -47,10 +47,10 @@
     void messageAccepted(double now, Message message);
 
     /**
-     * A message that was accepted before a restart is read back from the journal, with the attempts made until then,
-     * in their order; further attempts are numbered on from these. An attempt that was in flight at the restart may
-     * have run. None of the earlier attempts holds a slot, and no end follows for them. Messages are reported in the
-     * order in which they were accepted.
+     * A message that was accepted before a restart is read back from the journal, with the attempts made until then
+     * in the order in which they were sent; further attempts continue their numbering. An attempt that was in flight at
+     * the restart may have run. None of the earlier attempts holds a slot, and no end follows for them. Messages are
+     * reported in the order in which they were accepted.
      */
     void messageRecovered(double now, Message message, List<EarlierAttempt> attempts);
 
--- a/src/main/java/starlingvalve/DeliveryScheduler.java
+++ b/src/main/java/starlingvalve/DeliveryScheduler.java
@@ -43,7 +43,7 @@
     // Time-outs: a multiple of the latency target, or more where answers are observed to take longer.
     private static final double TIMEOUT_TARGET_MULTIPLE = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    private static final double UNSAFE_TIMEOUT_SHARE = 0.33; // of the deadline, at least: no repeat is allowed
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33; // of the deadline, at least: no retry may follow
     private static final double INITIAL_LATENCY_MS = 250; // assumed until an endpoint answers
 
     // Pacing.
@@ -65,7 +65,7 @@
     private static final double BURST_MS = 250;
     /** The minimum pacing rate is the greater of these shares: of the needed rate and of the even rate. */
     private static final double MIN_RATE_DEMAND_SHARE = 0.2;
-    private static final double LISTED_RATE_SHARE = 0.5; // a listed rate may be half too high
+    private static final double LISTED_RATE_SHARE = 0.5; // a listed rate may be 50 % too high
     /** After more refusals in a row the minimum falls: refused calls may use capacity and keep it full. */
     private static final int MIN_RATE_REFUSALS = 2;
     private static final double DESTINATION_IDLE_MS = 60_000; // without a send; then pacing starts anew
@@ -279,7 +279,7 @@
         accept(message).destination.demand.add();
     }
 
-    /** Rejects a message that would miss its deadline here: once accepted, no other sender could accept it. */
+    /** Rejects a message that would miss its deadline here: once accepted, it can't go to another sender. */
     @Override
     public OptionalDouble admissionRetryAfter(double now, Message message) {
         advanceClock(now);
@@ -1160,7 +1160,7 @@
             return circuit == Circuit.DOWN ? Math.max(MIN_PROBE_INTERVAL_MS, probeIntervalMs) : intervalMs;
         }
 
-        /** This sender's part of the overload budget, by the greatest of delivered, demanded and even rate. */
+        /** This sender's part of the overload budget, by the greatest of delivered, needed and even rate. */
         private double budget(double capacity) {
             double demanded = DEMAND_SHARE * destination.demand.perMs() / destination.members.size();
             double even = LISTED_RATE_SHARE * limiter.evenRate() / limiter.endpointCount();
--- a/src/main/java/starlingvalve/net/MessageRules.java
+++ b/src/main/java/starlingvalve/net/MessageRules.java
@@ -8,9 +8,9 @@
 import starlingvalve.DeliveryPolicy;
 
 /**
- * The final check of whether a message may be sent or ended, or a client's connection closed, now. It decides by the
- * state of the message alone, independently of what the delivery policy and the connections have decided. Whatever it
- * has to forbid is a fault in one of those, which is logged and counted.
+ * The final check, made just before a message is sent or ended or a client's connection is closed, whether that is
+ * allowed. It decides by the state of the message alone, independently of what the delivery policy and the connections
+ * have decided. Anything that it forbids is due to a fault in one of those, and is logged and counted.
  */
 final class MessageRules {
     /** A violation that was prevented, or, for {@link #ENDED_LATE}, observed. */
--- a/src/main/java/starlingvalve/net/Sender.java
+++ b/src/main/java/starlingvalve/net/Sender.java
@@ -872,7 +872,7 @@
         watchdog.forget(accepted);
     }
 
-    /** Handles the platform's answer to a notice: only now the message needs nothing more. */
+    /** Handles the platform's answer to a notice; only this completes the message. */
     private void noticeAcknowledged(AcceptedMessage accepted) {
         events.add("notice-heard", "id", accepted.id);
         rules.endAcknowledged(accepted);
