--- a/src/test/java/starlingvalve/FleetTest.java
+++ b/src/test/java/starlingvalve/FleetTest.java
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Submits a short-lived message each second for a minute, and with each fourth one that lives longer and is worth
-     * more.
+     * Submits a message with a short deadline each second for a minute, and with every fourth of them one with a later
+     * deadline and a higher worth.
      */
     private static Runnable submitEachSecond(PolicyHarness harness, int second) {
         return () -> {
@@ -173,8 +173,8 @@
     }
 
     /**
-     * A busy sender held to its even share of a listed rate refused messages while the shares of the other senders were
-     * unused (simulator scenario calm+mass of turin-couriers).
+     * A busy sender limited to its even share of a listed rate refused messages while the shares of the other senders
+     * were unused (simulator scenario calm+mass of turin-couriers).
      */
     @Test
     void senderWithMostMessagesIsNotLimitedToEvenShare() {
--- a/src/test/java/starlingvalve/PaceAndHealthTest.java
+++ b/src/test/java/starlingvalve/PaceAndHealthTest.java
@@ -51,7 +51,7 @@
             harness.submit(i, SAFE, 1);
         }
         harness.advanceTo(1000);
-        assertEquals(61, harness.delivered(), "all of them, once the table has room again");
+        assertEquals(61, harness.delivered(), "all are delivered, as the table has room again");
     }
 
     @Test
@@ -323,7 +323,7 @@
             harness.advanceTo(9000);
             early += harness.sends.size() - 1;
         }
-        assertTrue(early <= 8, "of forty senders back within a second: " + early);
+        assertTrue(early <= 8, "senders of forty that sent within a second of its end: " + early);
     }
 
     /**
@@ -353,7 +353,7 @@
             harness.advanceTo(quietMs);
             harness.submit(2, UNSAFE, 1);
             harness.end(2, 0, Outcome.ERROR);
-            assertFalse(harness.policy.isExcluded(10), "one is not enough");
+            assertFalse(harness.policy.isExcluded(10), "one bad end must not mark the endpoint down");
             harness.submit(3, UNSAFE, 1);
             harness.end(3, 0, Outcome.ERROR);
             assertEquals(quietMs > 10_000, harness.policy.isExcluded(10), "after " + quietMs + " ms");
@@ -392,7 +392,7 @@
         assertEquals(11, harness.sends.get(0).endpoint());
     }
 
-    /** Senders kept to a hung route beside one that delivered (simulator scenario menu-delivery-later). */
+    /** Senders kept using a route that hung beside one that delivered (simulator scenario menu-delivery-later). */
     @Test
     void endpointWithoutRecentDeliveryYieldsToSibling() {
         PolicyHarness harness = new PolicyHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 1, true);
--- a/src/test/java/starlingvalve/net/AgentConnectionTest.java
+++ b/src/test/java/starlingvalve/net/AgentConnectionTest.java
@@ -265,7 +265,7 @@
         try (StubServer stub = new StubServer(firstThenErrorStatuses(SUCCESS))) {
             AgentConnection agent = new AgentConnection(loop, stub.address());
             assertEquals(204, status(agent));
-            stub.answerAll(PARTIAL_SUCCESS);
+            stub.writeToAll(PARTIAL_SUCCESS);
             awaitRead();
             assertEquals(503, status(agent));
             assertEquals(1, stub.requests.get(1).connection(), "a new connection is used");
@@ -281,7 +281,7 @@
             CompletableFuture<Integer> status = new CompletableFuture<>();
             loop.execute(() -> {
                 try {
-                    stub.answerAll(PARTIAL_SUCCESS);
+                    stub.writeToAll(PARTIAL_SUCCESS);
                     requestStatus(agent, status);
                 } catch (Exception e) {
                     status.completeExceptionally(e);
--- a/src/test/java/starlingvalve/net/AnswerScript.java
+++ b/src/test/java/starlingvalve/net/AnswerScript.java
@@ -15,11 +15,11 @@
     /** How header lines are written; HTTP allows each of these. */
     enum Spelling { PLAIN, LOWER_CASE, UPPER_CASE_NO_SPACE, TABS_AND_SPACES, MORE_HEADERS_NO_REASON }
 
-    /** The result of one message of a batch, named by the protocol's words. */
+    /** The result of one message of a batch, with the names of the protocol. */
     enum MessageResult {
         ACCEPTED, FAULT, DEFERRED, EXPIRED, NO_MORE;
 
-        /** The protocol's word for it. */
+        /** The name of this result on the wire. */
         String text() {
             return name().toLowerCase(Locale.ROOT);
         }
@@ -40,9 +40,9 @@
         TRUNCATED,
         /** More bytes follow immediately. */
         STRAY_AFTER,
-        /** Content-Length promises more bytes than come. */
+        /** Content-Length declares more bytes than are written. */
         LENGTH_TOO_LONG,
-        /** Content-Length promises fewer bytes than come. */
+        /** Content-Length declares fewer bytes than are written. */
         LENGTH_TOO_SHORT,
         /** The framing of a chunk is invalid. */
         BAD_CHUNK,
@@ -115,7 +115,7 @@
      * How an answer is corrupted.
      *
      * @param permille the position in the answer, in thousandths of its length
-     * @param variant selects one of several ways to do it
+     * @param variant selects one of several forms of this kind of corruption
      * @param stray the bytes that follow an answer with {@link CorruptionKind#STRAY_AFTER}
      */
     record Corruption(CorruptionKind kind, int permille, int variant, Ending ending, StrayBytes stray) {
@@ -123,7 +123,7 @@
 
     /** One exchange: stray bytes before it, a call with {@code size} messages, its answer and how that is corrupted. */
     record Step(int size, StrayTiming strayTiming, StrayBytes strayBefore, Answer answer, Corruption corruption) {
-        /** Whether the answer counts: it is not corrupted, except by trailing bytes that can't be another answer. */
+        /** Whether the answer is valid: not corrupted, except by trailing bytes that can't be another answer. */
         boolean isValidAnswer() {
             boolean hasTrailingBytes = corruption.kind() == CorruptionKind.STRAY_AFTER;
             return corruption.kind().isHarmless()
--- a/src/test/java/starlingvalve/net/ChangedClassesUpgradeTest.java
+++ b/src/test/java/starlingvalve/net/ChangedClassesUpgradeTest.java
@@ -37,7 +37,7 @@
         script((request, socket) -> unanswered.add(socket));
         start();
         submit("m", "once");
-        StubServer.await("the call", () -> unanswered.size() == 1);
+        StubServer.await("the call arrives", () -> unanswered.size() == 1);
         Sender predecessor = sender;
         listenAddress = "127.0.0.1:" + address.getPort();
         moreClasses = true;
--- a/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
+++ b/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
@@ -28,7 +28,8 @@
             DescriptorBudget budget = divide(limit);
             assertTrue(total(budget, USUAL_CALLS) <= limit, budget.toString());
             assertTrue(budget.clients() * 3 >= limit, "clients get at least a third: " + budget);
-            assertTrue(budget.idleEndpoints() > USUAL_CALLS, "a connection may wait for its next call: " + budget);
+            assertTrue(budget.idleEndpoints() > USUAL_CALLS,
+                    "a connection may stay idle until its next call: " + budget);
         }
     }
 
--- a/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryRetryTest.java
@@ -277,15 +277,15 @@
         assertEquals(2 * BUSY_PASS_MS, DiscoveryRetryPolicy.LOOP_SLACK_MS);
         long afterInterval = AgentConnection.CONNECT_MS + DiscoveryRetryPolicy.LOOP_SLACK_MS;
         for (DiscoveryRetryPolicy.Timing timing : List.of(DiscoveryRetryPolicy.WATCH, DiscoveryRetryPolicy.PROMPT)) {
-            assertTrue(timing.intervalMs() + afterInterval <= CHANGE_LIMIT_MS, "total: " + timing);
+            assertTrue(timing.intervalMs() + afterInterval <= CHANGE_LIMIT_MS, "total time: " + timing);
             assertTrue(timing.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= timing.intervalMs(),
-                    "room for the pause: " + timing);
-            assertTrue(timing.answerTimeoutMs() >= 2000, "patience with an overloaded discovery: " + timing);
+                    "the interval has time for the pause: " + timing);
+            assertTrue(timing.answerTimeoutMs() >= 2000, "an overloaded discovery has time to answer: " + timing);
         }
         DiscoveryRetryPolicy.Timing newAddress = DiscoveryRetryPolicy.NEW_ADDRESS;
-        assertTrue(newAddress.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "total: " + newAddress);
+        assertTrue(newAddress.intervalMs() + afterInterval <= ADDRESS_CHANGE_LIMIT_MS, "total time: " + newAddress);
         assertTrue(newAddress.limitMs() + DiscoveryRetryPolicy.FIRST_MAX_PAUSE_MS <= newAddress.intervalMs(),
-                "room for the pause: " + newAddress);
+                "the interval has time for the pause: " + newAddress);
     }
 
     @Test
--- a/src/test/java/starlingvalve/net/DiscoveryTest.java
+++ b/src/test/java/starlingvalve/net/DiscoveryTest.java
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Guards against a failure observed in the scenario herd+vast: with a request from each sender every 0.6 s, an
-     * overloaded discovery never answered again.
+     * Guards against a failure observed in the simulator scenario herd+vast: with a request from each sender every
+     * 0.6 s, an overloaded discovery never answered again.
      */
     @Test
     void silentDiscoveryReceivesFewRequestsSpreadOverSenders() throws Exception {
@@ -120,7 +120,7 @@
         }
         advance(30_000);
         assertTrue(requestTimesMs.size() <= SENDERS * 12, "requests in 30 s: " + requestTimesMs.size());
-        assertTrue(requestTimesMs.size() >= SENDERS * 5, "requests continue: " + requestTimesMs.size());
+        assertTrue(requestTimesMs.size() >= SENDERS * 5, "requests must continue; in 30 s: " + requestTimesMs.size());
         long maxSimultaneous = requestTimesMs.stream().filter(timeMs -> timeMs > 10_000)
                 .mapToLong(timeMs -> requestTimesMs.stream()
                 .filter(other -> other >= timeMs && other < timeMs + 100).count()).max().orElse(0);
--- a/src/test/java/starlingvalve/net/EndedMessageProcessTest.java
+++ b/src/test/java/starlingvalve/net/EndedMessageProcessTest.java
@@ -64,7 +64,7 @@
         answerBothAfterOneHasLeft(effect);
         assertEquals(1, callCount("waiting"), "sent again after its end");
         int served = Stream.of("hasty", "safe", "keyed", "unsafe").mapToInt(name -> metric("served." + name)).sum();
-        assertEquals(3, served, "both count as delivered, as the opener does");
+        assertEquals(3, served, "both messages count as delivered, and so does the opener");
         assertBothConfirmedOnce();
     }
 
@@ -80,7 +80,7 @@
      * every answer to a call that a message had left.
      */
     private void assertBothConfirmedOnce() throws Exception {
-        StubServer.await("both are confirmed", () -> agent.notices.size() >= 2);
+        StubServer.await("both notices arrive", () -> agent.notices.size() >= 2);
         submit("last", "safe");
         awaitAllEnded();
         assertEquals(Set.of("{\"ref\":\"leaving\",\"result\":\"dead\"}", "{\"ref\":\"waiting\",\"result\":\"dead\"}"),
--- a/src/test/java/starlingvalve/net/EndpointListWaitTest.java
+++ b/src/test/java/starlingvalve/net/EndpointListWaitTest.java
@@ -124,7 +124,7 @@
     void callIsNotSentIfItHasTimedOutByThen() throws Exception {
         Runnable task = startCallThatWaits(SHORT_MS);
         Outcome outcome = nextOutcome();
-        assertEquals(false, outcome.mayHaveRun(), "certainly not sent: " + outcome);
+        assertEquals(false, outcome.mayHaveRun(), "the call was never sent: " + outcome);
         resume(task);
         StubServer.await("the connection is idle", () -> runInLoop(endpoints::idleConnections) == 1);
         assertEquals(List.of(), server.requests);
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -38,7 +38,7 @@
     private static final long STALL_MS = 10;
     /** Longer than the {@link QuietPeriod} of a connection. */
     private static final double SHORT_MS = 300;
-    /** So many senders that no connection may be idle where connection tables are full. */
+    /** With this many senders, no connection may stay idle where connection tables are full. */
     private static final int SENDERS = Integer.MAX_VALUE;
 
     private record End(Outcome outcome, boolean messageEnded, double retryAfterMs, boolean exchangeOpen) {
@@ -410,7 +410,7 @@
         // Input that arrived before this answer has been read by now, and the tasks it led to have run.
         loop.submit(() -> { }).sync();
         assertTrue(ends.isEmpty() && retryAfters.isEmpty(), "the first answer is not complete yet");
-        stub.answerAll("ll");
+        stub.writeToAll("ll");
         assertEquals(new End(Outcome.FULL, false, 1500), end());
         assertEquals("1 1500.0", retryAfters.poll(30, TimeUnit.SECONDS));
     }
@@ -512,7 +512,8 @@
                 return null;
             }).sync();
             assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-            assertTrue(stub.requests.get(stub.requests.size() - 1).connection() > used, "over a new connection");
+            assertTrue(stub.requests.get(stub.requests.size() - 1).connection() > used,
+                    "the call must use a new connection");
             awaitIdleConnection();
             closeIdleConnections();
         }
@@ -774,7 +775,10 @@
         assertEquals(0, idleConnections());
     }
 
-    /** Seen on calm+mass: idle connections of a few of 60 senders filled the tables and kept all others out all day. */
+    /**
+     * Idle connections of a few of 60 senders filled the connection tables, so that the other senders could not connect
+     * for a whole day (simulator scenario calm+mass).
+     */
     @Test
     void idleConnectionsAreClosedSoonWhereTablesAreFull() throws Exception {
         assertOutcome(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
@@ -784,7 +788,10 @@
         StubServer.await("the idle connection is closed", () -> idleConnections() == 0);
     }
 
-    /** Seen on herd+mass: the next call came a second later, and idle time was nearly half of the time in the table. */
+    /**
+     * The next call followed a second later, and connections were idle for nearly half of their time in the connection
+     * table (simulator scenario herd+mass).
+     */
     @Test
     void noConnectionIsIdleWhereTablesAreFullAndNextCallUsuallyComesLater() throws Exception {
         endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, callbacks);
@@ -800,7 +807,7 @@
         for (int call = 0; call < 3; call++) {
             assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         }
-        assertEquals(1, idleConnections(), "calls follow each other closely again");
+        assertEquals(1, idleConnections(), "the gaps between calls are short again");
     }
 
     /** A refusal on a reused connection, or one that keeps a new connection open, is no sign of a full table. */
--- a/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
+++ b/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
@@ -192,7 +192,7 @@
         faults.fail(Call.ACCEPT, errno);
         try (Socket waitingClient = connect()) {
             StubServer.await("an accept fails", () -> injectedFaults(Call.ACCEPT) > 0);
-            StubServer.await("the message's notice",
+            StubServer.await("the message's notice arrives",
                     () -> !agent.notices.isEmpty() || elapsedMs(submittedAtNanos) > BRIEF_MS + 2 * NOTICE_TOLERANCE_MS);
             long tookMs = elapsedMs(submittedAtNanos);
             faults.clearAll();
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -157,14 +157,14 @@
 
     @Test
     void unacknowledgedNoticeIsSentAfterUpgrade() throws Exception {
-        reportStatus = 500;
+        noticeStatus = 500;
         scriptCalls(StubServer.status(500, ""));
         start();
         submit("once", "once");
         StubServer.await("its notice is pending",
                 () -> journalledMessages().stream().anyMatch(accepted -> accepted.pendingNotice.isPresent()));
         upgrade();
-        reportStatus = 204;
+        noticeStatus = 204;
         awaitNotice("{\"ref\":\"once\",\"result\":\"dead\"}");
     }
 
--- a/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
+++ b/src/test/java/starlingvalve/net/HandoverRecoveryTest.java
@@ -29,7 +29,7 @@
         ByteBuffer part = ByteBuffer.allocate(1 << 16);
         do {
             part.clear();
-            assertEquals(true, connection.read(part) > 0, "the state");
+            assertEquals(true, connection.read(part) > 0, "the connection ended before the whole state");
         } while (part.get(part.position() - 1) != '\n');
         return connection;
     }
@@ -44,7 +44,7 @@
         StubServer.await("the call is in flight",
                 () -> endpoints.stream().anyMatch(endpoint -> !endpoint.requests.isEmpty()));
         try (SocketChannel connection = requestHandover()) {
-            StubServer.await("its notice", () -> !notices.isEmpty());
+            StubServer.await("the message's notice arrives", () -> !notices.isEmpty());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentNanos);
             assertTrue(tookMs <= BUDGET_MS + DeadlineHistory.TOLERANCE_MS, "its end came after " + tookMs + " ms");
             assertTrue(connection.isOpen());
@@ -156,7 +156,7 @@
         String request = message("late", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
         try (SocketChannel connection = requestHandover()) {
-            StubServer.await("the notice", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
+            StubServer.await("the notice arrives", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedNanos);
             assertTrue(tookMs <= budgetMs + 350, "it took " + tookMs + " ms");
             assertTrue(connection.isOpen());
@@ -186,7 +186,7 @@
         String request = message("late", "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
         requestHandoverWithoutRoomForCompactedCopy().close();
-        StubServer.await("the notice", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
+        StubServer.await("the notice arrives", () -> notices.stream().anyMatch(notice -> notice.contains("late")));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedNanos);
         assertTrue(tookMs <= budgetMs + 350, "it took " + tookMs + " ms");
     }
--- a/src/test/java/starlingvalve/net/HandoverTest.java
+++ b/src/test/java/starlingvalve/net/HandoverTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The old side of an upgrade; the test plays the successor. */
+/** The predecessor's side of an upgrade; the test plays the successor. */
 class HandoverTest {
     @TempDir
     private Path folder;
--- a/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
+++ b/src/test/java/starlingvalve/net/JournalDiskFailureTest.java
@@ -196,7 +196,7 @@
                 }
             }
         } catch (IOException notWritten) {
-            // What could not be recorded did not happen.
+            // What could not be recorded counts as not having happened, and is not expected after the restart.
         }
     }
 
--- a/src/test/java/starlingvalve/net/ListLeaseTest.java
+++ b/src/test/java/starlingvalve/net/ListLeaseTest.java
@@ -271,7 +271,8 @@
         long returnMs = nowMs;
         advance(150);
         assertEquals(1, lost.size());
-        assertTrue(lost.get(0) >= returnMs, "lost before ms: " + lost.get(0) + " of " + returnMs);
+        assertTrue(lost.get(0) >= returnMs,
+                "requests before ms " + lost.get(0) + " are lost, but the agent was back at ms " + returnMs);
     }
 
     /** Answers that arrive after the time limit for a reachable agent are still applied. */
--- a/src/test/java/starlingvalve/net/ListSoakTest.java
+++ b/src/test/java/starlingvalve/net/ListSoakTest.java
@@ -232,7 +232,7 @@
             case OUTAGE -> outage(random, false);
             case KILL_IN_OUTAGE -> outage(random, true);
             case MOVE -> {
-                // No SIGHUP comes within the first second of a process.
+                // No SIGHUP is sent within the first second of a process.
                 pause(1000);
                 moveDiscovery();
             }
--- a/src/test/java/starlingvalve/net/LongBudgetTest.java
+++ b/src/test/java/starlingvalve/net/LongBudgetTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards against a message with the largest possible budget keeping other messages from being ended in time. */
+/** Checks that a message with the largest possible budget does not keep other messages from ending in time. */
 class LongBudgetTest extends SenderFixture {
     private static final long BUDGET_MS = 2000;
 
-    private void handIn(String id, long budgetMs) throws Exception {
+    private void submitWithBudget(String id, long budgetMs) throws Exception {
         String request = message(id, "plain", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
         assertEquals("HTTP/1.1 202 Accepted", exchange(client(), request).line());
     }
@@ -17,14 +17,14 @@
     @Test
     void messageUnknownToThePolicyIsEndedDespiteAnotherWithTheLargestBudget() throws Exception {
         start();
-        handIn("long", Long.MAX_VALUE);
+        submitWithBudget("long", Long.MAX_VALUE);
         awaitEmptyJournal();
         beforeEvent = (event, arguments) -> {
             if (event.equals("messageAccepted")) {
                 throw new IllegalStateException("injected by the test");
             }
         };
-        handIn("forgotten", BUDGET_MS);
-        StubServer.await("the notice", () -> !notices.isEmpty());
+        submitWithBudget("forgotten", BUDGET_MS);
+        StubServer.await("the notice arrives", () -> !notices.isEmpty());
     }
 }
--- a/src/test/java/starlingvalve/net/MessageEndTest.java
+++ b/src/test/java/starlingvalve/net/MessageEndTest.java
@@ -140,13 +140,13 @@
 
     /**
      * By the protocol a message is delivered once the whole answer that accepts it is written. An earlier version of
-     * this test expected that the waiting call counts as possibly run, whatever the answer said.
+     * this test expected instead that the call that still waits always counts as possibly run.
      */
     @Test
     void completeAnswerCountsForAllMessagesIncludingAbandonedOnes() throws Exception {
         abandonTwoOfThree();
         assertTrue(received.isEmpty(), "their request is still in flight");
-        first.answerAll(accepted("cancelled", "hasty", "waiting"));
+        first.writeToAll(accepted("cancelled", "hasty", "waiting"));
         assertEquals(List.of(new Callback.EndedAfterCall("cancelled", 0, true),
                 new Callback.EndedAfterCall("hasty", 0, true),
                 new Callback.Ended("waiting", 0, Outcome.DELIVERED, false, false), new Callback.Closed("cancelled"),
@@ -154,9 +154,9 @@
     }
 
     @Test
-    void eachWordOfTheAnswerCountsForItsOwnMessage() throws Exception {
+    void eachResultOfTheAnswerCountsForItsOwnMessage() throws Exception {
         abandonTwoOfThree();
-        first.answerAll(answer("cancelled deferred\r\nhasty expired\r\nwaiting deferred\r\n"));
+        first.writeToAll(answer("cancelled deferred\r\nhasty expired\r\nwaiting deferred\r\n"));
         assertEquals(List.of(new Callback.EndedAfterCall("hasty", 0, false),
                 new Callback.Ended("waiting", 0, Outcome.FULL, false, false), new Callback.Closed("cancelled"),
                 new Callback.Closed("hasty")), List.of(next(), next(), next(), next()));
@@ -166,7 +166,7 @@
     void incompleteAnswerEndsNoMessage() throws Exception {
         abandonTwoOfThree();
         String whole = accepted("cancelled", "hasty", "waiting");
-        first.answerAll(whole.substring(0, whole.length() - 3));
+        first.writeToAll(whole.substring(0, whole.length() - 3));
         first.close();
         assertEquals(List.of(new Callback.Ended("waiting", 0, Outcome.BROKEN, false, false),
                 new Callback.Closed("cancelled"), new Callback.Closed("hasty")), List.of(next(), next(), next()));
@@ -184,7 +184,7 @@
         StubServer.await("the first attempt arrives", () -> first.requests.size() == 1);
         runInLoop(() -> {
             // The loop reads nothing now: the answer is in the socket before the second connect starts.
-            first.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            first.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             call(message, 1, SECOND, LONG_MS);
             endpoints.flush();
             return null;
--- a/src/test/java/starlingvalve/net/MessageRulesTest.java
+++ b/src/test/java/starlingvalve/net/MessageRulesTest.java
@@ -56,7 +56,7 @@
     @Test
     void unsafeMessageIsSentAgainOnlyIfItNeverRan() {
         AcceptedMessage message = repeated("unsafe");
-        assertTrue(rules.maySend(message, 0), "the attempt itself is not a repeat");
+        assertTrue(rules.maySend(message, 0), "a first attempt is not a repeat");
         assertForbidden(rules.maySend(message, 1), Violation.REPEATED_ONCE_ONLY);
         message.attempts.get(0).neverRan = true;
         assertTrue(rules.maySend(message, 1));
--- a/src/test/java/starlingvalve/net/ModuleFaultTest.java
+++ b/src/test/java/starlingvalve/net/ModuleFaultTest.java
@@ -44,7 +44,7 @@
         start();
         failNext("messageAccepted", 1);
         long submittedNanos = submitWithShortBudget("forgotten");
-        StubServer.await("the notice", () -> !notices.isEmpty());
+        StubServer.await("the notice arrives", () -> !notices.isEmpty());
         assertInTime(submittedNanos);
         awaitNotice("{\"ref\":\"forgotten\",\"result\":\"bounced\",\"wait_ms\":");
         assertEquals(0, calls().size());
@@ -56,7 +56,7 @@
         start();
         failNext("attemptEnded", 1);
         long submittedNanos = submitWithShortBudget("unanswered");
-        StubServer.await("the notice", () -> !notices.isEmpty());
+        StubServer.await("the notice arrives", () -> !notices.isEmpty());
         assertInTime(submittedNanos);
         awaitNotice("{\"ref\":\"unanswered\",\"result\":\"bounced\",\"wait_ms\":");
     }
@@ -66,7 +66,7 @@
         start();
         failNext("endTurn", 1);
         long submittedNanos = submitWithShortBudget("held-up");
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         assertInTime(submittedNanos);
         awaitEmptyJournal();
     }
--- a/src/test/java/starlingvalve/net/OperatorServerTest.java
+++ b/src/test/java/starlingvalve/net/OperatorServerTest.java
@@ -32,7 +32,7 @@
 
         @Override
         public void setMaintenance(String endpoint, boolean inMaintenance, Consumer<OperatorServer.Answer> callback) {
-            commands.add((inMaintenance ? "out " : "back ") + endpoint);
+            commands.add((inMaintenance ? "maint " : "ready ") + endpoint);
             callback.accept(OperatorServer.Answer.SUCCESS);
         }
 
@@ -85,7 +85,7 @@
         assertEquals("405", request("POST /stats"));
         assertEquals("405", request("GET /healthcheck/fail"));
         assertEquals("400", request("POST /endpoints/%zz/maint"));
-        assertEquals(List.of("out s-1", "back s-1", "drain true", "drain false"), commands);
+        assertEquals(List.of("maint s-1", "ready s-1", "drain true", "drain false"), commands);
     }
 
     @Test
--- a/src/test/java/starlingvalve/net/RepeatedIdTest.java
+++ b/src/test/java/starlingvalve/net/RepeatedIdTest.java
@@ -65,7 +65,7 @@
     /** The message has ended, though the platform has not acknowledged the notice of its end yet. */
     @Test
     void messageWithAPendingNoticeIsNotAcceptedAgain() throws Exception {
-        reportStatus = 500;
+        noticeStatus = 500;
         script(StubServer.status(500, ""));
         start();
         submit("id", "once");
@@ -74,14 +74,14 @@
         assertEquals("HTTP/1.1 410 Gone", submitAgain("id", "once").line());
         killAndRestart();
         assertEquals("HTTP/1.1 410 Gone", submitAgain("id", "once").line());
-        reportStatus = 204;
+        noticeStatus = 204;
         awaitNotice("dead");
         assertEquals(1, callsWith("id"));
     }
 
     @Test
     void repeatOfAReturnedMessageIsRefused() throws Exception {
-        leaveEarlierRun("order", 0, 24_000, true);
+        writeEarlierJournal("order", 0, 24_000, true);
         start();
         awaitNotice("bounced");
         StubServer.Message answer = submitAgain("old", "order");
--- a/src/test/java/starlingvalve/net/RestartTest.java
+++ b/src/test/java/starlingvalve/net/RestartTest.java
@@ -26,10 +26,10 @@
         script(StubServer.silent());
         start();
         submit("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         script(StubServer.status(200, ""));
         killAndRestart();
-        StubServer.await("the repeat", () -> calls().size() == 2);
+        StubServer.await("the repeated call arrives", () -> calls().size() == 2);
         assertEquals(List.of("one", "one"), calls().stream().map(call -> call.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
                 calls().stream().map(call -> call.header("Idempotency-Key")).toList());
@@ -38,7 +38,7 @@
 
     @Test
     void keyedAttemptInFlightIsNotRepeatedAfterItsWindow() throws Exception {
-        leaveEarlierRun("order", 21_000, 10_000, false);
+        writeEarlierJournal("order", 21_000, 10_000, false);
         start();
         awaitNotice("bounced");
         assertTrue(calls().isEmpty());
@@ -49,7 +49,7 @@
         script(StubServer.silent());
         start();
         submit("one", "once");
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         killAndRestart();
         awaitNotice("dead");
         assertEquals(1, calls().size());
@@ -67,7 +67,7 @@
             if (event.equals("mayBeginAttempt") && mayStartCalls.incrementAndGet() == 2) {
                 // The connection is established and nothing is written. The process makes no progress from here on.
                 connectionEstablished.countDown();
-                awaitLatch(killed);
+                awaitLatch(journalCopied);
             }
         };
         start();
@@ -76,7 +76,7 @@
         Path state = folder.resolve("state");
         Files.copy(state.resolve("journal"), folder.resolve("journal"));
         script(StubServer.silent());
-        killed.countDown();
+        journalCopied.countDown();
         StubServer.await("the attempt may have run now", () -> calls().size() == 1);
         sender.kill();
         Files.copy(folder.resolve("journal"), state.resolve("journal"), StandardCopyOption.REPLACE_EXISTING);
@@ -103,7 +103,7 @@
 
     @Test
     void unattemptedMessageIsSentAfterRestart() throws Exception {
-        leaveEarlierRun("once", 0, 10_000, false);
+        writeEarlierJournal("once", 0, 10_000, false);
         start();
         awaitEmptyJournal();
         assertEquals(1, calls().size());
@@ -117,7 +117,7 @@
     void faultInOneRecoveredMessageDoesNotAffectOthers() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (String id : List.of("first", "faulty", "tried", "last")) {
-                unattempted(journal, id, "plain", 7, Optional.empty());
+                writeUnattempted(journal, id, "plain", 7, Optional.empty());
             }
             List<AcceptedMessage> messages = List.copyOf(journal.liveMessages());
             JournalTest.attempt(journal, messages.get(2),
@@ -143,14 +143,14 @@
         List<String> unattempted = new ArrayList<>();
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (int i = 0; i < 5; i++) {
-                AcceptedMessage rejected = unattempted(journal, "refused-" + i, "plain", 2, Optional.empty());
+                AcceptedMessage rejected = writeUnattempted(journal, "refused-" + i, "plain", 2, Optional.empty());
                 for (int attempt = 0; attempt < 2; attempt++) {
                     JournalTest.attempt(journal, rejected,
                             new AcceptedMessage.Attempt("s-2", System.currentTimeMillis() - 3000));
                     journal.neverRan(rejected, attempt);
                 }
             }
-            AcceptedMessage waiting = unattempted(journal, "refused-later", "once", 4, Optional.of("alone"));
+            AcceptedMessage waiting = writeUnattempted(journal, "refused-later", "once", 4, Optional.of("alone"));
             JournalTest.attempt(journal, waiting,
                     new AcceptedMessage.Attempt("s-4", System.currentTimeMillis() - 3000));
             journal.neverRan(waiting, 0);
@@ -158,7 +158,7 @@
                 for (int destination : List.of(7, 2, 3, 4)) {
                     for (String type : List.of("order", "once", "plain")) {
                         String id = type + "-" + destination + "-" + i;
-                        unattempted(journal, id, type, destination, Optional.of("thread-" + type + destination));
+                        writeUnattempted(journal, id, type, destination, Optional.of("thread-" + type + destination));
                         unattempted.add(id);
                     }
                 }
@@ -239,16 +239,16 @@
     @Test
     void journalOfOtherSettingsDoesNotAffectOtherMessages() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            unattempted(journal, "gone", "a class of another customer", 7, Optional.empty());
+            writeUnattempted(journal, "gone", "a class of another customer", 7, Optional.empty());
             journal.accepted(new AcceptedMessage(journal.nextNumber(), "keyless", "order", "nobody", Optional.empty(),
                     Optional.empty(), 7, System.currentTimeMillis() + 15_000, new byte[1]));
             journal.accepted(new AcceptedMessage(journal.nextNumber(), "nowhere", "plain", "acme", Optional.empty(),
                     Optional.empty(), 99, System.currentTimeMillis() + 3000, new byte[1]));
-            unattempted(journal, "good", "once", 7, Optional.empty());
+            writeUnattempted(journal, "good", "once", 7, Optional.empty());
         }
         Files.write(folder.resolve("state/journal"), new byte[] {0, 0, 0, 50, 1, 2, 3}, StandardOpenOption.APPEND);
         start();
-        StubServer.await("both notices", () -> notices.size() == 2);
+        StubServer.await("both notices arrive", () -> notices.size() == 2);
         awaitEmptyJournal();
         assertEquals(Set.of("keyless", "good"), calls().stream().map(call -> call.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
@@ -258,7 +258,7 @@
 
     @Test
     void overdueMessageGetsItsNoticeAtOnce() throws Exception {
-        leaveEarlierRun("order", 0, -5000, false);
+        writeEarlierJournal("order", 0, -5000, false);
         start();
         awaitNotice("bounced");
         assertTrue(calls().isEmpty());
@@ -266,7 +266,7 @@
 
     @Test
     void unacknowledgedNoticeIsSentAfterRestart() throws Exception {
-        leaveEarlierRun("order", 0, 10_000, true);
+        writeEarlierJournal("order", 0, 10_000, true);
         start();
         awaitNotice("{\"ref\":\"old\",\"result\":\"bounced\",\"wait_ms\":700}");
         assertTrue(calls().isEmpty());
--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -42,21 +42,22 @@
     final List<String> notices = new CopyOnWriteArrayList<>();
     final List<Socket> clients = new ArrayList<>();
     StubServer agent;
-    /** States of the two endpoints in the agent's list. */
+    /** Lifecycles of the first two endpoints in the agent's list, separated by a space. */
     volatile String endpointStates = "SERVING SERVING";
     volatile boolean agentUp = true;
     /** Status with which the agent answers notices. */
-    volatile int reportStatus = 204;
+    volatile int noticeStatus = 204;
     /** Whether the configuration contains the endpoint list. */
     boolean listInConfig = true;
     /** Runs before each call of the policy, with the name of its method and the arguments. */
     volatile BiConsumer<String, Object[]> beforeEvent = (event, arguments) -> { };
     /** The setting {@code fleet_size}. */
     int fleetSize = 1;
-    /** Whether a hedge of a message in flight may be sent. */
+    /** The setting {@code second_copies}: whether a hedge of a message in flight may be sent. */
     boolean hedging;
-    final CountDownLatch killed = new CountDownLatch(1);
-    /** Number of further destinations with one endpoint each, numbered on from the first two endpoints. */
+    /** Counted down when the test has copied the journal of the sender, which makes no progress before that. */
+    final CountDownLatch journalCopied = new CountDownLatch(1);
+    /** Number of further destinations. Each has one endpoint, with the same number as the destination, from 2 on. */
     volatile int otherDestinations;
     String listenAddress = "127.0.0.1:0";
     Sender sender;
@@ -67,7 +68,7 @@
     void openStubs() throws Exception {
         endpoints.add(new StubServer(StubServer.status(200, "")));
         endpoints.add(new StubServer(StubServer.status(200, "")));
-        agent = new StubServer(this::agent);
+        agent = new StubServer(this::answerAgentRequest);
         Files.createDirectory(folder.resolve("state"));
     }
 
@@ -88,12 +89,12 @@
     // ---- the agent and the configuration ----
 
     /** Answers a request to the agent: a notice, or a request for the endpoint list. */
-    void agent(StubServer.Message request, Socket socket) throws Exception {
+    void answerAgentRequest(StubServer.Message request, Socket socket) throws Exception {
         if (!agentUp) {
             return;
         }
         if (request.line().startsWith("POST /reports")) {
-            int status = reportStatus;
+            int status = noticeStatus;
             if (status == 204) {
                 notices.addAll(List.of(request.body().trim().split("\n")));
             }
@@ -230,7 +231,7 @@
      * Writes the journal that an earlier process run leaves behind: one message with {@code leftMs} until its deadline,
      * with an attempt in flight since {@code attemptAgoMs} (0: none), and with or without an outstanding notice.
      */
-    AcceptedMessage leaveEarlierRun(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    AcceptedMessage writeEarlierJournal(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             long nowMs = System.currentTimeMillis();
             AcceptedMessage accepted =
@@ -248,7 +249,7 @@
     }
 
     /** Writes a message to the journal that an earlier process run accepted and never attempted. */
-    static AcceptedMessage unattempted(Journal journal, String id, String type, long destination,
+    static AcceptedMessage writeUnattempted(Journal journal, String id, String type, long destination,
             Optional<String> orderingKey) throws IOException {
         AcceptedMessage accepted = new AcceptedMessage(journal.nextNumber(), id, type, "acme", Optional.of("key-" + id),
                 orderingKey, destination, System.currentTimeMillis() + 15_000,
@@ -257,7 +258,7 @@
         return accepted;
     }
 
-    /** Waits for a latch, for lambdas, which may not throw checked exceptions. */
+    /** Waits for a latch. Throws no checked exception, so that lambdas can call it. */
     static void awaitLatch(CountDownLatch latch) {
         try {
             assertTrue(latch.await(30, TimeUnit.SECONDS));
@@ -271,9 +272,9 @@
     }
 
     /** Waits for one notice, which contains the given text, and for the journal to become empty. */
-    void awaitNotice(String result) throws Exception {
-        StubServer.await("the notice", () -> !notices.isEmpty());
-        assertTrue(notices.get(0).contains(result), notices.get(0));
+    void awaitNotice(String text) throws Exception {
+        StubServer.await("the notice arrives", () -> !notices.isEmpty());
+        assertTrue(notices.get(0).contains(text), notices.get(0));
         awaitEmptyJournal();
         assertEquals(1, notices.size());
     }
--- a/src/test/java/starlingvalve/net/SenderTest.java
+++ b/src/test/java/starlingvalve/net/SenderTest.java
@@ -144,13 +144,13 @@
     @Test
     void noticeIsRepeatedUntilAcknowledged() throws Exception {
         script(StubServer.status(500, ""));
-        reportStatus = 500;
+        noticeStatus = 500;
         start();
         submit("one", "once");
-        StubServer.await("several attempts", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
-                .count() > 2);
+        StubServer.await("the notice is sent several times", () -> agent.requests.stream()
+                .filter(r -> r.line().startsWith("POST")).count() > 2);
         assertEquals(1, journalledMessages().size());
-        reportStatus = 204;
+        noticeStatus = 204;
         awaitNotice("dead");
     }
 
@@ -162,12 +162,12 @@
             String query = "?thread=" + (id.equals("three") ? "other" : "same");
             assertEquals("HTTP/1.1 202 Accepted", exchange(client(), message(id, "once", query, "hello")).line());
         }
-        StubServer.await("the first of each ordering key", () -> calls().size() == 2);
+        StubServer.await("the first message of each ordering key arrives", () -> calls().size() == 2);
         assertEquals(Set.of("one", "three"), calls().stream().map(c -> c.header("X-Call-Id"))
                 .collect(Collectors.toSet()));
         script(StubServer.status(200, ""));
         for (StubServer endpoint : endpoints) {
-            endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         awaitEmptyJournal();
         assertEquals(3, calls().size());
@@ -182,7 +182,7 @@
                 () -> journalledMessages().get(0).attempts.stream().anyMatch(a -> a.neverRan));
         script(StubServer.status(200, ""));
         submit("two", "order");
-        StubServer.await("both delivered", () -> calls().size() == 3);
+        StubServer.await("both messages are sent", () -> calls().size() == 3);
         long first = calls().stream().mapToLong(StubServer.Message::atNanos).min().orElseThrow();
         for (StubServer.Message later : calls()) {
             assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent while waiting");
@@ -221,7 +221,7 @@
 
     @Test
     void nothingIsAcceptedOrGivenUpBeforeListIsKnown() throws Exception {
-        AcceptedMessage recovered = leaveEarlierRun("order", 1000, 20_000, false);
+        AcceptedMessage recovered = writeEarlierJournal("order", 1000, 20_000, false);
         listInConfig = false;
         agentUp = false;
         start();
--- a/src/test/java/starlingvalve/net/ShutdownTest.java
+++ b/src/test/java/starlingvalve/net/ShutdownTest.java
@@ -31,7 +31,7 @@
         start(60_000);
         Socket keptAlive = client();
         assertEquals("202", exchange(keptAlive, message("one", "once", "hello")).line().split(" ")[1]);
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
         StubServer.await("no new connection is accepted", () -> {
@@ -47,9 +47,9 @@
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, keptAlive.getInputStream().read());
         assertTrue(drain.isAlive(), "calls in flight are waited for");
-        StubServer.await("both calls", () -> calls().size() == 2);
+        StubServer.await("both calls arrive", () -> calls().size() == 2);
         for (StubServer endpoint : endpoints) {
-            endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
         assertTrue(journalledMessages().isEmpty());
@@ -60,13 +60,13 @@
         script(StubServer.silent());
         start();
         submit("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         sender.drain();
         assertEquals("one", journalledMessages().get(0).id);
         assertEquals(1, journalledMessages().get(0).attempts.size());
     }
 
-    /** A process that is told to end before it has started must exit; it hung until it was killed. */
+    /** A process that is drained before it has started must exit. It used to hang until it was killed. */
     @Test
     void drainBeforeStartEndsTheProcess() throws Exception {
         sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
@@ -81,7 +81,7 @@
     void drainDuringReplayLosesNoUnattemptedMessage() throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (String id : List.of("first", "second", "third")) {
-                unattempted(journal, id, "once", 7, Optional.of("thread"));
+                writeUnattempted(journal, id, "once", 7, Optional.of("thread"));
             }
         }
         Thread drain = new Thread(() -> sender.drain());
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The kernel has accepted a connection with its request when the sender is told to end. */
+    /** The kernel has accepted a connection with its request when the shutdown of the sender begins. */
     @Test
     void requestInTheAcceptQueueAtShutdownIsAnswered() throws Exception {
         start();
@@ -141,7 +141,7 @@
         start(shutdownLimitMs);
         Socket keptAlive = client();
         assertEquals("HTTP/1.1 202 Accepted", exchange(keptAlive, message("one", "once", "hello")).line());
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         AtomicLong drainStartedNanos = new AtomicLong();
         CompletableFuture<Boolean> answerReadFirst = new CompletableFuture<>();
@@ -177,7 +177,7 @@
         start(1500);
         Socket keptAlive = client();
         submit("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         sender.drain();
         StubServer.write(keptAlive, message("late", "plain", "hello"));
         // Before the loop answers the second of these requests, it has read all pending input once.
@@ -194,7 +194,7 @@
     void discoveryAddressChangedBeforeStartIsUsed() throws Exception {
         sender = new Sender(config(), Sender.SHUTDOWN_ACCEPT_MS, Sender.SHUTDOWN_LIMIT_MS);
         try (StubServer oldAgent = agent) {
-            agent = new StubServer(this::agent);
+            agent = new StubServer(this::answerAgentRequest);
             config();
             sender.reconfigure(Map.of("GW_CONFIG", folder.resolve("config.json").toString()));
             address = sender.start();
@@ -207,7 +207,7 @@
     private void answerAll() {
         try {
             for (StubServer endpoint : endpoints) {
-                endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+                endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -231,7 +231,7 @@
         config();
         Process first = process();
         submit("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call arrives", () -> calls().size() == 1);
         first.destroyForcibly().waitFor();
         script(StubServer.status(200, ""));
         Process second = process();
@@ -249,7 +249,7 @@
         Process process = process();
         StubServer.await("discovery gets a request", () -> !agent.requests.isEmpty());
         try (StubServer oldAgent = agent) {
-            agent = new StubServer(this::agent);
+            agent = new StubServer(this::answerAgentRequest);
             Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"127.");
             hangUp(process);
             StubServer.await("the incomplete file is read",
@@ -275,17 +275,17 @@
         config();
         Process process = process();
         StubServer.await("discovery gets a request", () -> !agent.requests.isEmpty());
-        reportStatus = 500;
+        noticeStatus = 500;
         script(StubServer.status(500, ""));
         submit("one", "once");
         StubServer.await("a notice is sent", () -> agent.requests.stream().anyMatch(r -> r.line().startsWith("POST")));
         try (StubServer oldAgent = agent) {
-            agent = new StubServer(this::agent);
+            agent = new StubServer(this::answerAgentRequest);
             Path file = folder.resolve("config.json");
             Files.writeString(file, "{ no configuration");
             hangUp(process);
             config();
-            reportStatus = 204;
+            noticeStatus = 204;
             hangUp(process);
             awaitNotice("dead");
             StubServer.await("the whole list is requested, then watched", () -> agent.requests.stream()
@@ -298,7 +298,7 @@
 
     /**
      * Under nohup SIGHUP is ignored from the start: every sender kept asking the old discovery address, and no log line
-     * told why.
+     * explained why.
      */
     @Test
     void inheritedIgnoreOfSighupIsLoggedAtStart() throws Exception {
--- a/src/test/java/starlingvalve/net/SoakNode.java
+++ b/src/test/java/starlingvalve/net/SoakNode.java
@@ -26,7 +26,7 @@
 
 /** One sender of a soak: its successive processes, its discovery agent, its clients and the faults of its machine. */
 final class SoakNode implements AutoCloseable {
-    /** A fault or an operation that a sender meets, apart from faults of its endpoints. */
+    /** A fault or an operation that a sender is subjected to, apart from faults of its endpoints. */
     enum Fault {
         KILL, RESTART, UPGRADE, RELOAD, SUSPEND, ACCEPT, SOCKET, CONNECT, INTERRUPTIONS, SHORT_TRANSFERS, BROKEN_READS,
         NO_BUFFERS,
@@ -61,7 +61,7 @@
     private static final int RECONNECT_DELAY_MS = 12;
     /** A kill of the process is counted within this time. */
     private static final long KILL_COUNTED_AFTER_MS = 200;
-    /** The sender may not have received a change of the list that precedes an outage of the agent by less than this. */
+    /** A change of the list that precedes an outage of the agent by less than this may not have reached the sender. */
     private static final long LIST_SETTLES_MS = 150;
     /** Least time between SIGTERM and SIGKILL. */
     private static final long TERM_TO_KILL_MS = 3700;
@@ -199,7 +199,7 @@
 
     private Path configure() throws IOException {
         return new TestConfig(agent.hostPort()).classes(CLASSES).workers(busy ? 8 : 2).batch(1 + random.nextInt(5))
-                .secondCopies(true).known(initialList).write(folder);
+                .hedging(true).known(initialList).write(folder);
     }
 
     void start() throws Exception {
@@ -305,7 +305,7 @@
     }
 
     private void reload() throws Exception {
-        // No SIGHUP comes within the first second of a process.
+        // No SIGHUP is sent within the first second of a process.
         TimeUnit.SECONDS.sleep(1);
         DiscoveryAgent.Address oldAddress = agent.move();
         configure();
--- a/src/test/java/starlingvalve/net/StubServer.java
+++ b/src/test/java/starlingvalve/net/StubServer.java
@@ -148,7 +148,7 @@
     }
 
     /** Writes this text to every connection. */
-    void answerAll(String text) throws IOException {
+    void writeToAll(String text) throws IOException {
         for (Socket socket : sockets) {
             write(socket, text);
         }
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Closes the server and its connections and interrupts its scripts: one that still waits would fail, and print its
-     * error, in the middle of a later test.
+     * Closes the server and its connections and interrupts its scripts: otherwise a script that still waits would fail,
+     * and print its error, in the middle of a later test.
      */
     @Override
     public void close() throws IOException {
--- a/src/test/java/starlingvalve/net/SubmissionServerTest.java
+++ b/src/test/java/starlingvalve/net/SubmissionServerTest.java
@@ -87,7 +87,7 @@
         for (int i = 0; i < 3; i++) {
             send(keptAlive, request("id-" + i, 0));
             advanceTime(keptAlive, 5000);
-            assertTrue(keptAlive.isOpen(), "closed without a pending request");
+            assertTrue(keptAlive.isOpen(), "closed though no request was pending");
         }
         send(keptAlive, request("half", 10));
         advanceTime(keptAlive, 1900);
--- a/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
+++ b/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
@@ -123,7 +123,7 @@
         sender.kill();
         faults.setClockOffset(-HOUR_MS);
         sender.start();
-        StubServer.await("the message's notice", () -> !agent.notices.isEmpty());
+        StubServer.await("the message's notice arrives", () -> !agent.notices.isEmpty());
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedAtNanos);
         assertTrue(tookMs <= BRIEF_MS + NOTICE_TOLERANCE_MS,
                 "ended after " + tookMs + " ms, time limit in ms: " + BRIEF_MS);
--- a/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverListenFaultTest.java
@@ -35,7 +35,7 @@
  * released the journal and its lock.
  */
 class TakeoverListenFaultTest {
-    private static final long START_PATIENCE_MS = 500;
+    private static final long RETRY_LIMIT_MS = 500;
 
     @TempDir
     private Path folder;
@@ -96,7 +96,7 @@
     @Test
     void errorWhileBecomingOwnerIsReportedAsFailure() throws Exception {
         FailingTakeoverCallbacks callbacks = new FailingTakeoverCallbacks();
-        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(RETRY_LIMIT_MS),
                 callbacks);
         loop.submit(takeover::begin).await();
         assertEquals(1, callbacks.failures.get());
@@ -110,7 +110,7 @@
         try (StateLock lock = StateLock.tryAcquire(folder).orElseThrow();
                 ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                         .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
-            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(RETRY_LIMIT_MS),
                     callbacks);
             loop.execute(takeover::begin);
             try (SocketChannel connection = predecessor.accept()) {
@@ -145,7 +145,7 @@
         StateLock lock = StateLock.tryAcquire(folder).orElseThrow();
         try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
-            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(RETRY_LIMIT_MS),
                     callbacks);
             loop.execute(takeover::begin);
             try (SocketChannel connection = predecessor.accept()) {
@@ -178,7 +178,7 @@
         StateLock lock = StateLock.tryAcquire(folder).orElseThrow();
         try (ServerSocketChannel predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")))) {
-            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+            Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(RETRY_LIMIT_MS),
                     callbacks);
             loop.execute(takeover::begin);
             try (SocketChannel connection = predecessor.accept()) {
--- a/src/test/java/starlingvalve/net/TakeoverTest.java
+++ b/src/test/java/starlingvalve/net/TakeoverTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The new side of an upgrade; the test plays the predecessor. */
+/** The successor's side of an upgrade; the test plays the predecessor. */
 class TakeoverTest {
-    private static final long START_PATIENCE_MS = 500;
+    private static final long RETRY_LIMIT_MS = 500;
 
     @TempDir
     private Path folder;
@@ -50,7 +50,7 @@
 
         @Override
         public void stopListening() {
-            events.add("listen no more");
+            events.add("stop listening");
         }
 
         @Override
@@ -77,7 +77,7 @@
 
         @Override
         public void predecessorEnded() {
-            events.add("gone");
+            events.add("predecessor ended");
         }
     };
 
@@ -86,7 +86,7 @@
         lock = StateLock.tryAcquire(folder).orElseThrow();
         predecessor = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                 .bind(UnixDomainSocketAddress.of(folder.resolve("socket")));
-        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(START_PATIENCE_MS),
+        Takeover takeover = new Takeover(loop, folder, folder.resolve("socket"), new StartRetry(RETRY_LIMIT_MS),
                 callbacks);
         loop.execute(takeover::begin);
     }
@@ -127,10 +127,10 @@
             assertEquals(List.of(), events);
             loop.execute(listenCallbacks.get(0));
             assertEquals("{\"do\":\"own\"}\n", read(connection));
-            StubServer.await("the reports", () -> events.size() == 3);
+            StubServer.await("the reports are handled", () -> events.size() == 3);
         }
-        StubServer.await("the end of the predecessor", () -> events.contains("gone"));
-        assertEquals(List.of("own with state", "ended", "submit", "gone"), events);
+        StubServer.await("the end of the predecessor is noticed", () -> events.contains("predecessor ended"));
+        assertEquals(List.of("own with state", "ended", "submit", "predecessor ended"), events);
     }
 
     @Test
@@ -142,7 +142,7 @@
         lock.close();
         StubServer.await("the takeover owns the journal", () -> events.contains("own"));
         loop.submit(listenCallbacks.get(0)).syncUninterruptibly();
-        assertEquals(List.of("listen no more", "own"), events, "the state of a predecessor that has ended is not used");
+        assertEquals(List.of("stop listening", "own"), events, "the state of a predecessor that has ended is not used");
     }
 
     @Test
@@ -161,7 +161,7 @@
             StubServer.await("the takeover listens", () -> listenCallbacks.size() == 1);
             lock.close();
             loop.execute(listenCallbacks.get(0));
-            StubServer.await("the failure", () -> events.contains("failed"));
+            StubServer.await("the failure is reported", () -> events.contains("failed"));
         }
         assertEquals(List.of("own with state", "failed"), events);
     }
--- a/src/test/java/starlingvalve/net/TestConfig.java
+++ b/src/test/java/starlingvalve/net/TestConfig.java
@@ -23,7 +23,7 @@
     private String classes = KEYED_CLASS;
     private int workers = 10;
     private int batch = 1;
-    private boolean secondCopies;
+    private boolean hedging;
 
     /** Starts with defaults and the address of discovery's agent. */
     TestConfig(String discovery) {
@@ -67,8 +67,8 @@
     }
 
     /** Whether a hedge may be sent for an attempt in flight. */
-    TestConfig secondCopies(boolean allowed) {
-        secondCopies = allowed;
+    TestConfig hedging(boolean allowed) {
+        hedging = allowed;
         return this;
     }
 
@@ -110,7 +110,7 @@
                   "fleet_size":1,"limits":{"most_tries":12,"second_copies":%s,"cancel":true,"max_open":1000,
                    "dial_timeout_ms":1000,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(discovery, sockets, diskMb, known, classes, workers, batch, secondCopies));
+                """.formatted(discovery, sockets, diskMb, known, classes, workers, batch, hedging));
     }
 
     /** Answers a request for the full endpoint list with a list of one endpoint. */
--- a/src/test/java/starlingvalve/net/UpgradeProcessTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeProcessTest.java
@@ -19,7 +19,7 @@
 
     @Override
     Path configure() throws IOException {
-        return new TestConfig(agent.hostPort()).classes(CLASSES).workers(6).secondCopies(true).known(agent.list())
+        return new TestConfig(agent.hostPort()).classes(CLASSES).workers(6).hedging(true).known(agent.list())
                 .write(folder);
     }
 
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -125,7 +125,7 @@
                 .classes(classes.stream().map(MessageClass::json).collect(Collectors.joining(",")))
                 .workers(random.nextBoolean() ? 3 + random.nextInt(5) : 20 + random.nextInt(20))
                 .batch(random.nextBoolean() ? 1 : 2 + random.nextInt(10))
-                .secondCopies(random.nextInt(3) > 0)
+                .hedging(random.nextInt(3) > 0)
                 .known(agent.list()).write(folder);
     }
 
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -44,7 +44,7 @@
             submit("after", "order");
             StubServer.await("both calls are in flight", () -> calls().size() == 4);
             for (StubServer endpoint : endpoints) {
-                endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+                endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
             awaitEmptyJournal();
             assertEquals(List.of(1, 2), List.of(metric("served.once"), metric("served.order")));
