--- a/src/test/java/starlingvalve/ColdFleetTest.java
+++ b/src/test/java/starlingvalve/ColdFleetTest.java
@@ -129,7 +129,9 @@
             }
         }
 
-        /** Advances all senders together; messages arrive at random, for some senders at a multiple of the mean rate. */
+        /**
+         * Advances all senders together; messages arrive at random, for some senders at several times the mean rate.
+         */
         void run() {
             double[] nextAt = new double[scenario.senders];
             for (int i = 0; i < scenario.senders; i++) {
--- a/src/test/java/starlingvalve/HandoverMemoryTest.java
+++ b/src/test/java/starlingvalve/HandoverMemoryTest.java
@@ -288,7 +288,7 @@
                 failed.add("seed " + seed + ": " + e);
             }
         }
-        assertEquals(List.of(), failed, failed.size() + " of 300 moments");
+        assertEquals(List.of(), failed, failed.size() + " of 300 handovers failed");
     }
 
     private static void handOverAtRandomMoment(long seed) {
--- a/src/test/java/starlingvalve/PaceAndHealthTest.java
+++ b/src/test/java/starlingvalve/PaceAndHealthTest.java
@@ -323,7 +323,7 @@
             harness.advanceTo(9000);
             early += harness.sends.size() - 1;
         }
-        assertTrue(early <= 8, "senders of forty that sent within a second of its end: " + early);
+        assertTrue(early <= 8, "calls of forty senders within a second after Retry-After: " + early);
     }
 
     /**
--- a/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
+++ b/src/test/java/starlingvalve/net/DescriptorBudgetTest.java
@@ -29,7 +29,7 @@
             assertTrue(total(budget, USUAL_CALLS) <= limit, budget.toString());
             assertTrue(budget.clients() * 3 >= limit, "clients get at least a third: " + budget);
             assertTrue(budget.idleEndpoints() > USUAL_CALLS,
-                    "a connection may stay idle until its next call: " + budget);
+                    "idle connections have room beyond all usual calls: " + budget);
         }
     }
 
--- a/src/test/java/starlingvalve/net/EndpointsTest.java
+++ b/src/test/java/starlingvalve/net/EndpointsTest.java
@@ -63,7 +63,7 @@
     private volatile boolean journalFull;
     private final BlockingQueue<String> retryAfters = new LinkedBlockingQueue<>();
     /** The clock for idle connections, in tests that move it themselves. */
-    private final AtomicLong nanos = new AtomicLong();
+    private final AtomicLong idleClockNanos = new AtomicLong();
     private Endpoints endpoints;
     private StubServer stub;
 
@@ -482,7 +482,7 @@
     @Test
     void bytesOnIdleConnectionMakeItUnusable() throws Exception {
         // The clock stands still, so no connection is closed for its age.
-        endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, callbacks);
+        endpoints = new Endpoints(loop, idleClockNanos::get, 1000, 15_000, 2, 4, callbacks);
         updateEndpoint(stub.address());
         for (String stray : List.of("HTTP/1.1 503 Serv", "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "\r\n", "x")) {
             assertOutcome(Outcome.DELIVERED, this::answerAndRecordSocket);
@@ -794,13 +794,13 @@
      */
     @Test
     void noConnectionIsIdleWhereTablesAreFullAndNextCallUsuallyComesLater() throws Exception {
-        endpoints = new Endpoints(loop, nanos::get, 1000, 15_000, 2, 4, callbacks);
+        endpoints = new Endpoints(loop, idleClockNanos::get, 1000, 15_000, 2, 4, callbacks);
         updateEndpoint(stub.address());
         assertOutcome(Outcome.NO_CONNECTION, StubServer.status(503, "Connection: close\r\n"));
         assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, idleConnections(), "no gap between exchanges is known yet");
         for (int call = 0; call < 2; call++) {
-            nanos.addAndGet(TimeUnit.SECONDS.toNanos(20));
+            idleClockNanos.addAndGet(TimeUnit.SECONDS.toNanos(20));
             assertOutcome(Outcome.DELIVERED, StubServer.status(200, ""));
         }
         assertEquals(0, idleConnections(), "the next call would come after the 6 s that a connection may be idle");
--- a/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
+++ b/src/test/java/starlingvalve/net/FailingCallsProcessTest.java
@@ -135,8 +135,8 @@
             SenderFixture.awaitLatch(takenOver);
             accept(call, socket);
         });
-        submit("out", "unsafe");
-        StubServer.await("a call carries the message", () -> callCount("out") == 1);
+        submit("in-flight", "unsafe");
+        StubServer.await("a call carries the message", () -> callCount("in-flight") == 1);
         faults.failEvery(2, Call.RECEIVE, Errno.EINTR);
         try (SenderProcess successor = sender.successor().start()) {
             successor.awaitEvent("takeover", "open=1", "calls=1");
@@ -146,7 +146,7 @@
             assertFalse(successor.log().contains("event=predecessor-gone"),
                     "the connection between the two processes was lost");
             assertFalse(sender.log().contains("failed before it owned"), "the upgrade was aborted");
-            assertEquals(1, callCount("out"));
+            assertEquals(1, callCount("in-flight"));
             assertEquals(List.of(), agent.notices);
         }
     }
--- a/src/test/java/starlingvalve/net/FaultSoakTest.java
+++ b/src/test/java/starlingvalve/net/FaultSoakTest.java
@@ -39,7 +39,7 @@
 
     private final Map<String, MessageHistory> histories = new ConcurrentHashMap<>();
     private Random endpointRandom;
-    private volatile boolean faultsOver;
+    private volatile boolean faultsEnded;
     /** Counts the runs of the process, since an answer to a call of a killed process is read by nobody. */
     private volatile int processRun;
 
@@ -74,10 +74,10 @@
         List<String> ids = ids(call);
         long nowNanos = System.nanoTime();
         ids.forEach(id -> history(id).add(nowNanos, Kind.CALLED));
-        if (!faultsOver && draw(4) == 0) {
+        if (!faultsEnded && draw(4) == 0) {
             TimeUnit.MILLISECONDS.sleep(draw((int) MAX_ANSWER_DELAY_MS));
         }
-        int choice = faultsOver ? 0 : draw(100);
+        int choice = faultsEnded ? 0 : draw(100);
         if (choice < 60) {
             answerOk(call, ids, socket, processRunOfCall);
         } else if (choice < 70) {
@@ -107,7 +107,7 @@
         List<String> accepted = new ArrayList<>();
         StringBuilder body = new StringBuilder();
         for (String id : ids) {
-            boolean deferred = ids.size() > 1 && !faultsOver && draw(8) == 0;
+            boolean deferred = ids.size() > 1 && !faultsEnded && draw(8) == 0;
             body.append(id).append(deferred ? " deferred\r\n" : " accepted\r\n");
             if (deferred) {
                 history(id).add(System.nanoTime(), Kind.NOT_EXECUTED);
@@ -116,7 +116,7 @@
             }
         }
         String text = "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-        int split = faultsOver ? 0 : draw(text.length());
+        int split = faultsEnded ? 0 : draw(text.length());
         StubServer.write(socket, text.substring(0, split));
         StubServer.write(socket, text.substring(split));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - call.atNanos());
@@ -224,7 +224,7 @@
         for (Thread client : clients) {
             client.join();
         }
-        faultsOver = true;
+        faultsEnded = true;
         awaitAllEnded();
         awaitNoticesAcknowledged();
         long acceptedCount = histories.values().stream().filter(history -> history.toString().contains("ACCEPTED"))
--- a/src/test/java/starlingvalve/net/HandoverOrderTest.java
+++ b/src/test/java/starlingvalve/net/HandoverOrderTest.java
@@ -25,7 +25,7 @@
 
 /** Handovers of a sender in various states: each message must still end in time. */
 class HandoverOrderTest extends SenderFixture {
-    private static final String WAIT = "Retry-After: 1.5\r\n";
+    private static final String RETRY_AFTER_HEADER = "Retry-After: 1.5\r\n";
     private static final int BUDGET_MS = 4000;
 
     private final List<Sender> predecessors = new ArrayList<>();
@@ -72,7 +72,7 @@
     @Test
     void messageBehindOneWithRefusedHedgeEndsInTimeAfterUpgrade() throws Exception {
         hedging = true;
-        scriptCalls(StubServer.silent(), StubServer.status(503, WAIT));
+        scriptCalls(StubServer.silent(), StubServer.status(503, RETRY_AFTER_HEADER));
         start();
         submit("hedged", "plain");
         StubServer.await("the hedge is refused", () -> calls().size() == 2 && refusedAttempts("hedged") == 1);
@@ -106,7 +106,7 @@
 
     @Test
     void refusedMessageThatWaitsForRetryEndsInTimeAfterUpgrade() throws Exception {
-        scriptCalls(StubServer.status(503, WAIT));
+        scriptCalls(StubServer.status(503, RETRY_AFTER_HEADER));
         start();
         long submittedNanos = System.nanoTime();
         submitWithShortBudget("waiting");
@@ -122,11 +122,11 @@
         scriptCalls((request, socket) -> unanswered.add(socket));
         start();
         long submittedNanos = System.nanoTime();
-        submitWithShortBudget("out");
+        submitWithShortBudget("in-flight");
         StubServer.await("the call is in flight", () -> unanswered.size() == 1);
         upgrade();
         StubServer.write(unanswered.get(0), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-        awaitEnd("out", submittedNanos);
+        awaitEnd("in-flight", submittedNanos);
     }
 
     @Test
@@ -179,7 +179,7 @@
 
     @Test
     void messageEndsInTimeIfSuccessorsPolicyFailsToRestoreState() throws Exception {
-        scriptCalls(StubServer.status(503, WAIT));
+        scriptCalls(StubServer.status(503, RETRY_AFTER_HEADER));
         start();
         long submittedNanos = System.nanoTime();
         submitWithShortBudget("waiting");
@@ -195,7 +195,7 @@
 
     @Test
     void predecessorContinuesIfItsPolicyFailsToReturnState() throws Exception {
-        scriptCalls(StubServer.status(503, WAIT));
+        scriptCalls(StubServer.status(503, RETRY_AFTER_HEADER));
         start();
         long submittedNanos = System.nanoTime();
         submitWithShortBudget("waiting");
--- a/src/test/java/starlingvalve/net/HandoverTest.java
+++ b/src/test/java/starlingvalve/net/HandoverTest.java
@@ -54,7 +54,7 @@
 
         @Override
         public void handedOver() {
-            events.add("left");
+            events.add("handed over");
         }
 
         @Override
@@ -98,7 +98,7 @@
             try (ServerSocketChannel successorListener = ServerSocketChannel.open(StandardProtocolFamily.UNIX)
                     .bind(UnixDomainSocketAddress.of(path))) {
                 write(connection, "{\"do\":\"own\"}\n");
-                StubServer.await("the handover is complete", () -> events.contains("left"));
+                StubServer.await("the handover is complete", () -> events.contains("handed over"));
                 assertTrue(Files.exists(path), "the successor's socket is deleted: no later upgrade can reach it");
             }
         }
--- a/src/test/java/starlingvalve/net/JournalClockTest.java
+++ b/src/test/java/starlingvalve/net/JournalClockTest.java
@@ -51,7 +51,7 @@
     }
 
     /** Writes the journal of a first process: one open message, and one that was delivered. */
-    private void firstProcessRun() throws IOException {
+    private void writeFirstJournal() throws IOException {
         try (Journal journal = open()) {
             accept(journal, "held");
             journal.ended(accept(journal, "delivered"), FinishedMessage.Result.DELIVERED);
@@ -72,7 +72,7 @@
 
     @Test
     void wallClockStepsDoNotChangeTheTimeLeft() throws Exception {
-        firstProcessRun();
+        writeFirstJournal();
         for (long stepMs : new long[] {HOUR_MS, -2 * HOUR_MS, 3000, HOUR_MS}) {
             clocks.wallMs += stepMs;
             clocks.advance(1000);
@@ -92,7 +92,7 @@
 
     @Test
     void clockBaseSurvivesCompaction() throws Exception {
-        firstProcessRun();
+        writeFirstJournal();
         clocks.wallMs += HOUR_MS;
         try (Journal journal = open()) {
             for (long size = 0; journal.size() >= size;) {
@@ -108,7 +108,7 @@
 
     @Test
     void wallClockIsUsedAfterAnotherBoot() throws Exception {
-        firstProcessRun();
+        writeFirstJournal();
         clocks.bootId = "second";
         clocks.monotonicMs = 9_000_000;
         clocks.wallMs += 7000;
@@ -120,7 +120,7 @@
     /** Even under the same boot id, a monotonic clock that is behind the recorded base belongs to another boot. */
     @Test
     void monotonicClockBehindTheBaseMeansAnotherBoot() throws Exception {
-        firstProcessRun();
+        writeFirstJournal();
         clocks.monotonicMs = 100;
         clocks.wallMs += 7000;
         try (Journal journal = open()) {
--- a/src/test/java/starlingvalve/net/MessageHistory.java
+++ b/src/test/java/starlingvalve/net/MessageHistory.java
@@ -9,7 +9,7 @@
  * they saw them. The rules that the message breaks are derived from this history alone.
  */
 final class MessageHistory {
-    /** A call that arrives at most this long after the message ended may have been under way already. */
+    /** A call that arrives at most this long after the message ended may already have been in flight. */
     static final long GRACE_NANOS = 250_000_000;
 
     private static final String NEVER_ENDED = "accepted and never ended";
--- a/src/test/java/starlingvalve/net/MessageHistoryTest.java
+++ b/src/test/java/starlingvalve/net/MessageHistoryTest.java
@@ -51,10 +51,10 @@
                 "delivered, though late");
         assertEquals(List.of(), violations(false, Kind.ACCEPTED, Kind.CALLED, Kind.DELIVERED_LATE, Kind.CALLED),
                 "the late answer may not have been read");
-        MessageHistory underWay = new MessageHistory("id", false);
-        underWay.add(0, Kind.ACCEPTED);
-        underWay.add(1, Kind.DELIVERED);
-        underWay.add(1 + MessageHistory.GRACE_NANOS, Kind.CALLED);
-        assertEquals(List.of(), underWay.violations(), "the call was under way");
+        MessageHistory callInFlight = new MessageHistory("id", false);
+        callInFlight.add(0, Kind.ACCEPTED);
+        callInFlight.add(1, Kind.DELIVERED);
+        callInFlight.add(1 + MessageHistory.GRACE_NANOS, Kind.CALLED);
+        assertEquals(List.of(), callInFlight.violations(), "the call was already in flight");
     }
 }
--- a/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
+++ b/src/test/java/starlingvalve/net/RetryAfterOrderTest.java
@@ -102,7 +102,7 @@
 
     /** Sends a call that its endpoint reads and does not answer; returns the endpoint's socket. */
     private Socket startUnansweredCall() throws InterruptedException {
-        loop.execute(() -> call("teller", RETRY_AFTER_ENDPOINT));
+        loop.execute(() -> call("refused", RETRY_AFTER_ENDPOINT));
         return waitingSockets.poll(30, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/starlingvalve/net/SenderFixture.java
+++ b/src/test/java/starlingvalve/net/SenderFixture.java
@@ -55,9 +55,12 @@
     int fleetSize = 1;
     /** The setting {@code second_copies}: whether a hedge of a message in flight may be sent. */
     boolean hedging;
-    /** Counted down when the test has copied the journal of the sender, which makes no progress before that. */
+    /** Counted down when the test has copied the journal; until then the event loop of the sender is blocked. */
     final CountDownLatch journalCopied = new CountDownLatch(1);
-    /** Number of further destinations. Each has one endpoint, with the same number as the destination, from 2 on. */
+    /**
+     * Number of further destinations, each with one listed endpoint. Destination and endpoint have the same number,
+     * from 2 on; the two stubs serve all of them.
+     */
     volatile int otherDestinations;
     String listenAddress = "127.0.0.1:0";
     Sender sender;
--- a/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
+++ b/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
@@ -100,13 +100,13 @@
         script(StubServer.silent());
         submit("opener", "safe");
         StubServer.await("the only worker is busy", () -> callCount("opener") == 1);
-        submit("untried", "unsafe");
+        submit("unattempted", "unsafe");
         sender.kill();
         faults.setClockOffset(HOUR_MS);
         script(SenderProcessFixture::accept);
         sender.start();
         awaitAllEnded();
-        assertEquals(1, callCount("untried"), "given up without a call");
+        assertEquals(1, callCount("unattempted"), "given up without a call");
         assertEquals(List.of(), agent.notices);
     }
 
--- a/src/test/java/starlingvalve/net/UpgradeSoakTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeSoakTest.java
@@ -52,7 +52,7 @@
     private static final long READY_GRACE_MS = 1500;
     private static final long READY_TIMEOUT_MS = 20_000;
     private static final long REFUSAL_DELAY_MS = 200;
-    /** The system ends a busy process after this much processor time, even if this process cannot. */
+    /** The system ends a busy process after this much processor time, in case this test fails to end it. */
     private static final long BUSY_PROCESS_CPU_S = 60;
 
     /** A class of messages. Its name is part of the message ids, so that a history shows the class. */
@@ -80,7 +80,7 @@
     private int healthyPercent;
     private Path config;
     private InetSocketAddress listenAddress;
-    private volatile boolean faultsOver;
+    private volatile boolean faultsEnded;
 
     static LongStream seeds() {
         return LongStream.range(FIRST_SEED, FIRST_SEED + SEEDS);
@@ -115,7 +115,7 @@
         for (int destination = 1; destination <= destinations; destination++) {
             int count = 1 + random.nextInt(3);
             FaultyDestination faultyDestination =
-                    new FaultyDestination(destination, count, new Random(random.nextLong()), () -> faultsOver);
+                    new FaultyDestination(destination, count, new Random(random.nextLong()), () -> faultsEnded);
             for (int i = 0; i < count; i++) {
                 addEndpoint("s-" + destination + "-" + i, faultyDestination, i, new Random(random.nextLong()));
             }
@@ -459,7 +459,7 @@
         for (Thread client : clients) {
             client.join();
         }
-        faultsOver = true;
+        faultsEnded = true;
         long lastOverdueNanos = histories.values().stream().mapToLong(history -> history.overdueNanos(restarts)).max()
                 .orElseThrow();
         awaitUntil(lastOverdueNanos + TimeUnit.SECONDS.toNanos(2), this::allEndedOrOverdue);
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -29,7 +29,7 @@
         assertEquals("HTTP/1.1 202 Accepted", exchange(client, message("before", "order", "hello")).line());
         awaitEmptyJournal();
         script(StubServer.silent());
-        submit("out", "once");
+        submit("in-flight", "once");
         StubServer.await("the call is in flight", () -> calls().size() == 2);
         assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-1/maint"));
         Sender predecessor = upgrade();
