--- a/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
+++ b/src/test/java/starlingvalve/net/SystemFaultsProcessTest.java
@@ -100,13 +100,13 @@
         script(StubServer.silent());
         submit("opener", "safe");
         StubServer.await("the only worker is busy", () -> callCount("opener") == 1);
-        submit("untried", "unsafe");
+        submit("unattempted", "unsafe");
         sender.kill();
         faults.setClockOffset(HOUR_MS);
         script(SenderProcessFixture::accept);
         sender.start();
         awaitAllEnded();
-        assertEquals(1, callCount("untried"), "given up without a call");
+        assertEquals(1, callCount("unattempted"), "given up without a call");
         assertEquals(List.of(), agent.notices);
     }
 
@@ -123,7 +123,7 @@
         sender.kill();
         faults.setClockOffset(-HOUR_MS);
         sender.start();
-        StubServer.await("the message's notice", () -> !agent.notices.isEmpty());
+        StubServer.await("the message's notice arrives", () -> !agent.notices.isEmpty());
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - submittedAtNanos);
         assertTrue(tookMs <= BRIEF_MS + NOTICE_TOLERANCE_MS,
                 "ended after " + tookMs + " ms, time limit in ms: " + BRIEF_MS);
--- a/src/test/java/starlingvalve/net/UpgradeTest.java
+++ b/src/test/java/starlingvalve/net/UpgradeTest.java
@@ -29,7 +29,7 @@
         assertEquals("HTTP/1.1 202 Accepted", exchange(client, message("before", "order", "hello")).line());
         awaitEmptyJournal();
         script(StubServer.silent());
-        submit("out", "once");
+        submit("in-flight", "once");
         StubServer.await("the call is in flight", () -> calls().size() == 2);
         assertEquals("200 ok\n", operatorRequest("POST", "/endpoints/s-1/maint"));
         Sender predecessor = upgrade();
@@ -44,7 +44,7 @@
             submit("after", "order");
             StubServer.await("both calls are in flight", () -> calls().size() == 4);
             for (StubServer endpoint : endpoints) {
-                endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+                endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
             awaitEmptyJournal();
             assertEquals(List.of(1, 2), List.of(metric("served.once"), metric("served.order")));
